--- a/packages/pondquay-cli/src/pondquay_cli/client.py
+++ b/packages/pondquay-cli/src/pondquay_cli/client.py
@@ -13,7 +13,7 @@
     from collections.abc import Sequence
 
 CONNECT_SECONDS = 2.0
-ANSWER_SECONDS = 15.0
+RESPONSE_SECONDS = 15.0
 FIRST_ERROR = 400
 UNAVAILABLE = 503
 
@@ -39,22 +39,22 @@
         """
         return await self._call("GET", path, None)
 
-    async def list_answers(self, path: str) -> list[Any]:
+    async def list_responses(self, path: str) -> list[Any]:
         """Read something from every endpoint that answers.
 
         :raises UnreachableError: if none does
         """
-        answers = []
+        responses = []
         for url in self._urls:
             try:
                 status, content = await self._call_one("GET", url + path, None)
             except Exception:  # a endpoint that does not answer is left out
                 continue
             if status < FIRST_ERROR:
-                answers.append(content)
-        if not answers:
+                responses.append(content)
+        if not responses:
             raise UnreachableError("no operator endpoint answered")
-        return answers
+        return responses
 
     async def post(self, path: str, body: object) -> Any:
         """Ask for something; every such request may be sent twice without harm.
@@ -89,7 +89,7 @@
         # Without a body none is sent, not even an empty value.
         content: dict[str, Any] = {} if body is None else {"json": body}
         response = await self._http.request(
-            method, url, headers=headers, timeout=ANSWER_SECONDS, **content
+            method, url, headers=headers, timeout=RESPONSE_SECONDS, **content
         )
         return response.code, await treq.json_content(response)
 
--- a/packages/pondquay-cli/src/pondquay_cli/commands/dump.py
+++ b/packages/pondquay-cli/src/pondquay_cli/commands/dump.py
@@ -30,7 +30,7 @@
 
         :raises InvalidUsageError: if no endpoint that answers is that instance's
         """
-        dumps = await client.list_answers("/dump")
+        dumps = await client.list_responses("/dump")
         names = {one["instance"].partition("~")[0]: one for one in dumps}
         content = names.get(options.instance)
         if content is None:
--- a/packages/pondquay-cli/src/pondquay_cli/commands/explain.py
+++ b/packages/pondquay-cli/src/pondquay_cli/commands/explain.py
@@ -7,7 +7,7 @@
 
 from pondquay_cli.commands.base import COMMANDS, CommandResult, LocalCommand
 from pondquay_cli.errors import EXIT_REFUSED, InvalidUsageError
-from pondquay_cli.logfiles import find_story, read_events
+from pondquay_cli.logfiles import find_request_events, read_events
 
 if TYPE_CHECKING:
     from argparse import ArgumentParser, Namespace
@@ -42,7 +42,7 @@
         :raises InvalidUsageError: if a file cannot be read
         """
         events = [one for path in options.files for one in _read(path)]
-        story = find_story(events, options.request, options.around)
+        story = find_request_events(events, options.request, options.around)
         if not story:
             text = f"no event of {options.request} in {len(events)} events"
             return CommandResult([], text, EXIT_REFUSED)
--- a/packages/pondquay-cli/src/pondquay_cli/commands/relays.py
+++ b/packages/pondquay-cli/src/pondquay_cli/commands/relays.py
@@ -43,7 +43,7 @@
 
     async def run(self, client: OperatorClient, options: Namespace) -> CommandResult:
         """Show it; relays that do not answer are left out."""
-        dumps = await client.list_answers("/dump")
+        dumps = await client.list_responses("/dump")
         rows = [summarize(one) for one in dumps]
         text = format_table(COLUMNS, rows)
         return CommandResult(rows, "\n".join([text, *list_malformed(dumps)]))
--- a/packages/pondquay-cli/src/pondquay_cli/logfiles.py
+++ b/packages/pondquay-cli/src/pondquay_cli/logfiles.py
@@ -76,7 +76,7 @@
             yield event
 
 
-def find_story(
+def find_request_events(
     events: Iterable[LogEvent], request: str, around: float
 ) -> list[LogEvent]:
     """Return a request's events in order, with what its instances believed then.
--- a/packages/pondquay-daemon/src/pondquay_daemon/__main__.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/__main__.py
@@ -133,8 +133,8 @@
         anyreactor.stop()
 
     def begin_stop(*_: object) -> None:
-        if not application.parts.stopping:
-            application.parts.stopping = True
+        if not application.components.stopping:
+            application.components.stopping = True
             anyreactor.callFromThread(lambda: spawn(stop(), "Application"))
 
     def install_signals() -> Deferred[None]:
--- a/packages/pondquay-daemon/src/pondquay_daemon/application.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/application.py
@@ -19,7 +19,7 @@
 from pondquay_daemon.grants import GrantTask
 from pondquay_daemon.logs import Level, log_event
 from pondquay_daemon.metrics import Metrics
-from pondquay_daemon.parts import InstanceParts
+from pondquay_daemon.parts import InstanceComponents
 from pondquay_daemon.peers import PeerListener, PeerTask
 from pondquay_daemon.platform import Platform
 from pondquay_daemon.recovery import Recovery
@@ -38,7 +38,7 @@
 
 BOOT_BYTES = 6
 STOP_STEP_SECONDS = 0.05
-HAND_BACK_SECONDS = 30.0
+RETURN_UNSPENT_SECONDS = 30.0
 ENTRY = "entry"
 
 
@@ -97,7 +97,7 @@
             self.configuration,
             self.metrics,
         )
-        self.parts = InstanceParts(
+        self.components = InstanceComponents(
             settings,
             self.instance,
             self.domain,
@@ -142,8 +142,8 @@
         )
         for address, endpoint in (
             (listen.callers, callers.app),
-            (listen.operators, OperatorEndpoint(self.parts).app),
-            (listen.metrics, MetricsEndpoint(self.parts).app),
+            (listen.operators, OperatorEndpoint(self.components).app),
+            (listen.metrics, MetricsEndpoint(self.components).app),
         ):
             port = await listen_http(
                 self.reactor, Address.parse(address), endpoint, most
@@ -170,17 +170,17 @@
         :returns: whether all of that was done in time
         """
         log_event("stopping", running=self.runner.running())
-        self.parts.stopping = True
+        self.components.stopping = True
         self.runner.stopping = True
         self.peers.announce()
         deadline = self.reactor.seconds() + self.settings.limits.stop_seconds
         while self.runner.running() and self.reactor.seconds() < deadline:
             await sleep(STOP_STEP_SECONDS, self.reactor)
-        deadline = self.reactor.seconds() + HAND_BACK_SECONDS
-        done = await self.grants.hand_back(self.runner.running)
+        deadline = self.reactor.seconds() + RETURN_UNSPENT_SECONDS
+        done = await self.grants.return_unspent(self.runner.running)
         while not done and self.reactor.seconds() < deadline:
             await sleep(STOP_STEP_SECONDS, self.reactor)
-            done = await self.grants.hand_back(self.runner.running)
+            done = await self.grants.return_unspent(self.runner.running)
         level = Level.INFO if done else Level.ERROR
         log_event("stopped", level, grants_left=len(self.grants.holder.holdings))
         for port in self._ports:
@@ -199,13 +199,13 @@
             self.instance,
             self.domain,
             self.configuration.document.version,
-            self.parts.stopping,
+            self.components.stopping,
             self.upstreams.leaving(),
         )
 
-    def hear_peer(self, heartbeat: Heartbeat) -> None:
+    def receive_peer(self, heartbeat: Heartbeat) -> None:
         """Take in what a peer said of itself."""
-        self.configuration.hear_version(heartbeat.version)
+        self.configuration.receive_version(heartbeat.version)
         self.upstreams.mark_leaving(heartbeat.leaving_upstreams)
 
     def find_request(self, peer: InstanceId, question: FindRequest) -> FoundRequest:
@@ -226,9 +226,9 @@
         """Answer the holder of a grant."""
         return self.grants.receive_call(message)
 
-    def receive_budget_answer(self, message: Any) -> None:
+    def receive_budget_response(self, message: Any) -> None:
         """Take in the answer of a witness."""
-        self.grants.receive_answer(message)
+        self.grants.receive_response(message)
         if message.kind == "settled":
             self.recovery.note_settled(message.grant, message.seqs)
 
--- a/packages/pondquay-daemon/src/pondquay_daemon/calls.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/calls.py
@@ -120,7 +120,7 @@
 
 
 @dataclass(slots=True)
-class KeptAnswer:
+class CachedResponse:
     """A whole answer that is kept for a while in case its caller asks again."""
 
     content: str
--- a/packages/pondquay-daemon/src/pondquay_daemon/completionruns.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/completionruns.py
@@ -7,8 +7,8 @@
 from pondquay.routing.admission import ORDER
 from pondquay.routing.policies import Work
 from pondquay.routing.upstreams import ENGINE
-from pondquay.streams import Answer, Frame, Verdict
-from pondquay_daemon.calls import Delivered, KeptAnswer, Refusal
+from pondquay.streams import Frame, Response, Verdict
+from pondquay_daemon.calls import CachedResponse, Delivered, Refusal
 from pondquay_daemon.engines import Completion, StreamState
 from pondquay_daemon.errors import MayHaveRunError, NotSentError, RefusedError
 from pondquay_daemon.logs import Level, log_event
@@ -28,7 +28,7 @@
     from pondquay_daemon.requestattempts import Attempts
     from pondquay_daemon.requestindex import RequestIndex
 
-MOST_RESUMES = 3
+MAX_RESUMES = 3
 RESUME_PAUSE_SECONDS = 0.2
 
 
@@ -71,14 +71,14 @@
             started = await self._attempts.start(progress, wish)
             if isinstance(started, Refusal):
                 return started
-            answer = Answer(started.attempt.stream)
+            response = Response(started.attempt.stream)
             try:
-                await self._run_stream(progress, call, started, answer, sink)
+                await self._run_stream(progress, call, started, response, sink)
             finally:
                 self._attempts.release(started)
-            if answer.whole:
-                return await self._finish(progress, call, started, answer, sink)
-            if answer.frames or not self._attempts.may_try_again(progress):
+            if response.whole:
+                return await self._finish(progress, call, started, response, sink)
+            if response.frames or not self._attempts.may_try_again(progress):
                 return refuse_unfinished(progress)
             self._metrics.retries.inc()
 
@@ -87,7 +87,7 @@
         progress: Progress,
         call: CompletionCall,
         started: Started,
-        answer: Answer,
+        response: Response,
         sink: FrameSink,
     ) -> None:
         """Run one attempt until its answer is whole or it is given up."""
@@ -103,7 +103,7 @@
         )
 
         def take(frame: Frame) -> None:
-            verdict = answer.take(frame)
+            verdict = response.take(frame)
             pieces.append(self._clock.seconds())
             if verdict is not Verdict.PASS_ON:
                 self._metrics.dropped_frames.labels(verdict.value).inc()
@@ -119,9 +119,9 @@
             return
         except MayHaveRunError as error:
             self._attempts.log_failure(call, started, error)
-        if not answer.whole:
-            await self._resume(started, answer, take)
-        if answer.whole:
+        if not response.whole:
+            await self._resume(started, response, take)
+        if response.whole:
             upstream.circuit.succeed()
             if len(pieces) > 1:
                 upstream.observe_pace((pieces[-1] - pieces[0]) / (len(pieces) - 1))
@@ -129,29 +129,29 @@
             return
         await self._give_up_started(progress, started)
 
-    async def _resume(self, started: Started, answer: Answer, take: Any) -> None:
+    async def _resume(self, started: Started, response: Response, take: Any) -> None:
         """Fetch what is missing of an answer from the engine that has it."""
         url = started.placement.upstream.url
         failures = 0
-        while failures < MOST_RESUMES and not answer.whole:
+        while failures < MAX_RESUMES and not response.whole:
             await sleep(RESUME_PAUSE_SECONDS * failures, self._clock)
-            before = answer.next_offset
+            before = response.next_offset
             try:
-                await self._engines.resume(url, answer.stream, before, take)
+                await self._engines.resume(url, response.stream, before, take)
                 self._metrics.resumes.inc()
             except RefusedError:
                 return
             except MayHaveRunError:
                 failures += 1
                 continue
-            failures = 0 if answer.next_offset > before else failures + 1
+            failures = 0 if response.next_offset > before else failures + 1
 
     async def _give_up_started(self, progress: Progress, started: Started) -> None:
         """End an attempt that may have run, for good if the engine answers."""
         upstream = started.placement.upstream
         self._attempts.avoid(progress, started)
-        answer = await self._engines.cancel(upstream.url, started.attempt.stream)
-        status = answer.seen_from(started.attempt.boot)
+        response = await self._engines.cancel(upstream.url, started.attempt.stream)
+        status = response.seen_from(started.attempt.boot)
         if status.state is StreamState.CANCELLED and not status.started:
             progress.life.refuse()
         else:
@@ -168,16 +168,18 @@
         progress: Progress,
         call: CompletionCall,
         started: Started,
-        answer: Answer,
+        response: Response,
         sink: FrameSink,
     ) -> Delivered:
         """Settle, then let the last piece go: its bill is safe before it leaves."""
-        last = answer.frames[-1]
+        last = response.frames[-1]
         used = last.prompt_tokens + last.output_tokens
         charged = await self._grants.settle(started.attempt, used)
         tokens = used if charged is None else charged
         sink.pass_on(last)
-        self._index.keep(call, KeptAnswer(call.content, tokens, tuple(answer.frames)))
+        self._index.keep(
+            call, CachedResponse(call.content, tokens, tuple(response.frames))
+        )
         self._metrics.billed_tokens.labels(call.request.workspace).inc(tokens)
         log_event(
             "request-done",
--- a/packages/pondquay-daemon/src/pondquay_daemon/configuration.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/configuration.py
@@ -18,7 +18,7 @@
     from pondquay_daemon.platform import Platform
 
 POLL_SECONDS = 1.0
-MOST_KEPT = 200
+MAX_KEPT = 200
 
 
 class ConfigurationTask(Task):
@@ -51,7 +51,7 @@
         if newest > self.document.version:
             self._peers.ask_deltas(self.document.version)
 
-    def hear_version(self, version: int) -> None:
+    def receive_version(self, version: int) -> None:
         """Learn from a peer that there is a newer version."""
         if version > self.document.version and not self._fetching:
             spawn(self._fetch(version), "ConfigurationTask")
@@ -77,7 +77,7 @@
         self.document = self.document.apply(delta)
         self.loaded = True
         self._recent.append(delta)
-        del self._recent[:-MOST_KEPT]
+        del self._recent[:-MAX_KEPT]
         log_event("configuration", version=delta.version, plan=delta.plan)
         self._peers.announce()
 
--- a/packages/pondquay-daemon/src/pondquay_daemon/endpoints/callers.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/endpoints/callers.py
@@ -34,9 +34,9 @@
 from pondquay_daemon.endpoints.completions import (
     BILLED_HEADER,
     OUTCOME_HEADER,
-    CompletionAnswer,
-    StreamedAnswer,
-    WholeAnswer,
+    CompleteResponse,
+    CompletionResponse,
+    StreamedResponse,
     write_names,
     write_refusal,
 )
@@ -153,25 +153,27 @@
         headers = read_headers(request)
         call = self._make_completion(workspace, form, headers)
         started = self._clock.seconds()
-        answer: CompletionAnswer
+        response: CompletionResponse
         if form.stream:
             include_usage = bool(
                 form.stream_options and form.stream_options.include_usage
             )
-            answer = StreamedAnswer(request, call, include_usage)
+            response = StreamedResponse(request, call, include_usage)
         else:
-            answer = WholeAnswer(request, call)
-        answer.watch_first(lambda: self._note_first(started))
-        return Deferred.fromCoroutine(self._complete(call, answer))
+            response = CompleteResponse(request, call)
+        response.watch_first(lambda: self._note_first(started))
+        return Deferred.fromCoroutine(self._complete(call, response))
 
     def _note_first(self, started: float) -> None:
         self._metrics.first_token.observe(self._clock.seconds() - started)
 
-    async def _complete(self, call: CompletionCall, answer: CompletionAnswer) -> Any:
-        result = await self._runner.complete(call, answer)
+    async def _complete(
+        self, call: CompletionCall, response: CompletionResponse
+    ) -> Any:
+        result = await self._runner.complete(call, response)
         code = result.code.value if isinstance(result, Refusal) else "done"
         self._count("completion", code)
-        return answer.end(result)
+        return response.end(result)
 
     def _check_size(self, request: Request) -> None:
         if getattr(request, "too_large", False):
--- a/packages/pondquay-daemon/src/pondquay_daemon/endpoints/completions.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/endpoints/completions.py
@@ -23,7 +23,7 @@
 BILLED_HEADER = "Pondquay-Billed"
 
 
-class CompletionAnswer(FrameSink):
+class CompletionResponse(FrameSink):
     """An answer on its way to a caller, who may go away meanwhile.
 
     A caller that goes away does not end the request: it finishes, is billed once, and
@@ -55,7 +55,7 @@
         raise NotImplementedError
 
 
-class WholeAnswer(CompletionAnswer):
+class CompleteResponse(CompletionResponse):
     """An answer that is written when it is whole."""
 
     def __init__(self, request: Request, call: CompletionCall) -> None:
@@ -97,7 +97,7 @@
         return write_json(self.request, content)
 
 
-class StreamedAnswer(CompletionAnswer):
+class StreamedResponse(CompletionResponse):
     """An answer whose pieces are written as server-sent events as they come."""
 
     def __init__(
--- a/packages/pondquay-daemon/src/pondquay_daemon/endpoints/dumps.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/endpoints/dumps.py
@@ -7,24 +7,24 @@
 if TYPE_CHECKING:
     from pondquay.budgets.holdings import Holding
     from pondquay.budgets.witness import WitnessedGrant
-    from pondquay_daemon.parts import InstanceParts
+    from pondquay_daemon.parts import InstanceComponents
 
-MOST_ITEMS = 500
+MAX_ITEMS = 500
 
 
-def dump_state(parts: InstanceParts) -> dict[str, Any]:
+def dump_state(components: InstanceComponents) -> dict[str, Any]:
     """Return the state of an instance as JSON objects."""
-    holder = parts.grants.holder
-    witness = parts.grants.witness
+    holder = components.grants.holder
+    witness = components.grants.witness
     return {
-        "instance": str(parts.instance),
-        "domain": parts.domain,
-        "stopping": parts.stopping,
-        "version": parts.configuration.document.version,
+        "instance": str(components.instance),
+        "domain": components.domain,
+        "stopping": components.stopping,
+        "version": components.configuration.document.version,
         "platform": {
-            "reachable": parts.platform.reachable,
-            "reads": parts.platform.reads,
-            "writes": parts.platform.writes,
+            "reachable": components.platform.reachable,
+            "reads": components.platform.reads,
+            "writes": components.platform.writes,
         },
         "peers": [
             {
@@ -32,7 +32,7 @@
                 "domain": one.domain,
                 "version": one.version,
             }
-            for one in list(parts.peers.table.known.values())[:MOST_ITEMS]
+            for one in list(components.peers.table.known.values())[:MAX_ITEMS]
         ],
         "upstreams": [
             {
@@ -42,17 +42,19 @@
                 "outstanding": one.outstanding,
                 "circuit_failures": one.circuit.failures,
             }
-            for one in list(parts.upstreams.known.values())[:MOST_ITEMS]
+            for one in list(components.upstreams.known.values())[:MAX_ITEMS]
         ],
-        "running": [str(one) for one in list(parts.runner.index.running)[:MOST_ITEMS]],
-        "waiting": parts.upstreams.waiting(),
+        "running": [
+            str(one) for one in list(components.runner.index.running)[:MAX_ITEMS]
+        ],
+        "waiting": components.upstreams.waiting(),
         "holdings": [
-            _dump_holding(one) for one in list(holder.holdings.values())[:MOST_ITEMS]
+            _dump_holding(one) for one in list(holder.holdings.values())[:MAX_ITEMS]
         ],
         "witnessed": [
-            _dump_witnessed(one) for one in list(witness.grants.values())[:MOST_ITEMS]
+            _dump_witnessed(one) for one in list(witness.grants.values())[:MAX_ITEMS]
         ],
-        "bills_in_one_memory": parts.grants.unsafe_bills,
+        "bills_in_one_memory": components.grants.unsafe_bills,
     }
 
 
--- a/packages/pondquay-daemon/src/pondquay_daemon/endpoints/forms.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/endpoints/forms.py
@@ -11,8 +11,8 @@
 from pondquay.configuration.entities import Priority  # noqa: TC002
 
 KEY_PATTERN = r"^[A-Za-z0-9][A-Za-z0-9._:-]{0,127}$"
-MOST_DEADLINE_MS = 600_000
-MOST_MESSAGES = 1000
+MAX_DEADLINE_MS = 600_000
+MAX_MESSAGES = 1000
 PREFIX_CHARACTERS = 256
 
 
@@ -55,9 +55,7 @@
     model_config = ConfigDict(extra="ignore", strict=True)
 
     model: Annotated[str, Field(min_length=1, max_length=200)]
-    messages: Annotated[
-        list[ChatMessage], Field(min_length=1, max_length=MOST_MESSAGES)
-    ]
+    messages: Annotated[list[ChatMessage], Field(min_length=1, max_length=MAX_MESSAGES)]
     max_tokens: Annotated[int, Field(ge=1)] | None = None
     max_completion_tokens: Annotated[int, Field(ge=1)] | None = None
     stream: bool | None = False
@@ -78,7 +76,7 @@
     key: Annotated[str, Field(pattern=KEY_PATTERN)] | None = None
     repeatable: Literal["yes", "no"] | None = None
     priority: Priority | None = None
-    deadline_ms: Annotated[int, Field(ge=1, le=MOST_DEADLINE_MS)] | None = None
+    deadline_ms: Annotated[int, Field(ge=1, le=MAX_DEADLINE_MS)] | None = None
 
 
 HEADER_NAMES = {
--- a/packages/pondquay-daemon/src/pondquay_daemon/endpoints/metrics.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/endpoints/metrics.py
@@ -12,14 +12,14 @@
 if TYPE_CHECKING:
     from twisted.web.server import Request
 
-    from pondquay_daemon.parts import InstanceParts
+    from pondquay_daemon.parts import InstanceComponents
 
 
 class MetricsEndpoint:
     """Serves ``/metrics``, ``/health`` and ``/ready``."""
 
-    def __init__(self, parts: InstanceParts) -> None:
-        self._parts = parts
+    def __init__(self, components: InstanceComponents) -> None:
+        self._components = components
         self.app = Klein()
         self.app.route("/metrics", methods=["GET"])(self.show_metrics)
         self.app.route("/health", methods=["GET"])(self.show_health)
@@ -29,31 +29,31 @@
         """Return all metrics in the text format."""
         self._update()
         request.setHeader("Content-Type", CONTENT_TYPE_LATEST)
-        return generate_latest(self._parts.metrics.registry)
+        return generate_latest(self._components.metrics.registry)
 
     def _update(self) -> None:
-        parts = self._parts
-        metrics = parts.metrics
-        holdings = parts.grants.holder.holdings.values()
-        metrics.running.set(parts.runner.running())
-        metrics.waiting.set(parts.upstreams.waiting())
-        metrics.version.set(parts.configuration.document.version)
-        metrics.peers.set(parts.peers.count())
-        metrics.platform_up.set(1 if parts.platform.reachable else 0)
-        metrics.table_writes.set(parts.platform.writes)
-        metrics.table_reads.set(parts.platform.reads)
-        metrics.peer_bytes.set(parts.peers.links.sent_bytes)
-        metrics.peer_messages.set(parts.peers.links.sent_messages)
-        metrics.links_cut.set(parts.peers.links.cut_off)
-        metrics.unsafe_bills.set(parts.grants.unsafe_bills)
-        metrics.grants_held.set(parts.grants.holder.count_open())
+        components = self._components
+        metrics = components.metrics
+        holdings = components.grants.holder.holdings.values()
+        metrics.running.set(components.runner.running())
+        metrics.waiting.set(components.upstreams.waiting())
+        metrics.version.set(components.configuration.document.version)
+        metrics.peers.set(components.peers.count())
+        metrics.platform_up.set(1 if components.platform.reachable else 0)
+        metrics.table_writes.set(components.platform.writes)
+        metrics.table_reads.set(components.platform.reads)
+        metrics.peer_bytes.set(components.peers.links.sent_bytes)
+        metrics.peer_messages.set(components.peers.links.sent_messages)
+        metrics.links_cut.set(components.peers.links.cut_off)
+        metrics.unsafe_bills.set(components.grants.unsafe_bills)
+        metrics.grants_held.set(components.grants.holder.count_open())
         metrics.held_tokens.set(sum(one.amount - one.spent for one in holdings))
 
     def show_health(self, request: Request) -> bytes:
         """Say that the process runs."""
-        return write_json(request, {"instance": str(self._parts.instance)})
+        return write_json(request, {"instance": str(self._components.instance)})
 
     def show_ready(self, request: Request) -> bytes:
         """Say whether the balancer should send callers here."""
-        ready = self._parts.ready
+        ready = self._components.ready
         return write_json(request, {"ready": ready}, 200 if ready else UNAVAILABLE)
--- a/packages/pondquay-daemon/src/pondquay_daemon/endpoints/operators.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/endpoints/operators.py
@@ -52,7 +52,7 @@
     from twisted.web.server import Request
 
     from pondquay.configuration.programs import ConfirmOutcome
-    from pondquay_daemon.parts import InstanceParts
+    from pondquay_daemon.parts import InstanceComponents
 
 PLAN_BYTES = 5
 ACCEPTED = 202
@@ -70,8 +70,8 @@
 class OperatorEndpoint:
     """Serves operators; each request comes with a partner's operator key."""
 
-    def __init__(self, parts: InstanceParts) -> None:
-        self._parts = parts
+    def __init__(self, components: InstanceComponents) -> None:
+        self._components = components
         self.app = Klein()
         self._route("/plans", "POST", self._propose)
         self._route("/plans", "GET", self._list_plans)
@@ -88,7 +88,7 @@
         self,
         path: str,
         method: str,
-        answer: Callable[..., Coroutine[Deferred[Any], Any, bytes]],
+        response: Callable[..., Coroutine[Deferred[Any], Any, bytes]],
     ) -> None:
         def serve(request: Request, **values: str) -> Deferred[bytes] | bytes:
             partner = self._find_partner(request)
@@ -96,14 +96,14 @@
                 return write_error(
                     request, UNAUTHORIZED, "invalid_operator_key", "key is not known"
                 )
-            return Deferred.fromCoroutine(answer(request, partner, **values))
+            return Deferred.fromCoroutine(response(request, partner, **values))
 
         endpoint = f"{method}-{path}"
         self.app.route(path, methods=[method], endpoint=endpoint)(serve)
 
     def _find_partner(self, request: Request) -> str | None:
         digest = digest_key(read_bearer(request) or "")
-        for name, section in self._parts.settings.partners.items():
+        for name, section in self._components.settings.partners.items():
             if compare_digest(section.operator_key_digest, digest):
                 return name
         return None
@@ -121,7 +121,7 @@
             )
         except ValueError:
             return write_error(request, BAD_REQUEST, "invalid_json", "not JSON")
-        document = self._parts.configuration.document
+        document = self._components.configuration.document
         plan_id = token_hex(PLAN_BYTES)
         try:
             plan = make_plan(plan_id, partner, document, form.wanted, form.removed)
@@ -134,14 +134,14 @@
                 "; ".join(findings),
                 findings=findings,
             )
-        outcome = await self._parts.platform.run(propose_plan(plan))
+        outcome = await self._components.platform.run(propose_plan(plan))
         if isinstance(outcome, Unreachable):
             return _write_unreachable(request)
         log_event("plan-proposed", plan=plan.id, partner=partner, base=plan.base)
         return write_json(request, plan.model_dump(mode="json"))
 
     async def _list_plans(self, request: Request, partner: str) -> bytes:
-        plans = await self._parts.platform.run(read_plans())
+        plans = await self._components.platform.run(read_plans())
         if isinstance(plans, Unreachable):
             return _write_unreachable(request)
         return write_json(
@@ -149,7 +149,7 @@
         )
 
     async def _show_plan(self, request: Request, partner: str, plan_id: str) -> bytes:
-        plan = await self._parts.platform.run(read_plan(plan_id))
+        plan = await self._components.platform.run(read_plan(plan_id))
         if isinstance(plan, Unreachable):
             return _write_unreachable(request)
         if isinstance(plan, PlanUnknown):
@@ -157,7 +157,7 @@
         return write_json(request, plan.model_dump(mode="json"))
 
     async def _confirm(self, request: Request, partner: str, plan_id: str) -> bytes:
-        plan = await self._parts.platform.run(read_plan(plan_id))
+        plan = await self._components.platform.run(read_plan(plan_id))
         if isinstance(plan, Unreachable):
             return _write_unreachable(request)
         if isinstance(plan, PlanUnknown):
@@ -169,28 +169,28 @@
             return write_error(
                 request, FORBIDDEN, "not_concerned", "this plan is not yours to confirm"
             )
-        outcome = await self._parts.platform.run(confirm_plan(plan_id, partner))
+        outcome = await self._components.platform.run(confirm_plan(plan_id, partner))
         if isinstance(outcome, Confirmed):
             log_event("plan-confirmed", plan=plan_id, version=outcome.version)
-            self._parts.configuration.hear_version(outcome.version)
+            self._components.configuration.receive_version(outcome.version)
         return _write_confirm(request, outcome)
 
     # What stands
 
     async def _show_status(self, request: Request, partner: str) -> bytes:
-        parts = self._parts
-        now = parts.peers.now()
+        components = self._components
+        now = components.peers.now()
         instances = [
             {
-                "name": parts.instance.name,
-                "boot": parts.instance.boot,
-                "domain": parts.domain,
-                "version": parts.configuration.document.version,
-                "state": "leaving" if parts.stopping else "live",
+                "name": components.instance.name,
+                "boot": components.instance.boot,
+                "domain": components.domain,
+                "version": components.configuration.document.version,
+                "state": "leaving" if components.stopping else "live",
             }
         ]
-        for peer in parts.peers.table.known.values():
-            usable = parts.peers.is_usable(peer.instance)
+        for peer in components.peers.table.known.values():
+            usable = components.peers.is_usable(peer.instance)
             live = "leaving" if peer.leaving else "live"
             instances.append(
                 {
@@ -199,21 +199,21 @@
                     "domain": peer.domain,
                     "version": peer.version,
                     "state": live if usable else "silent",
-                    "heard_seconds_ago": round(now - peer.heard, 1),
+                    "heard_seconds_ago": round(now - peer.last_seen_at, 1),
                 }
             )
         return write_json(
             request,
             {
-                "version": parts.configuration.document.version,
+                "version": components.configuration.document.version,
                 "partner": partner,
-                "platform_reachable": parts.platform.reachable,
+                "platform_reachable": components.platform.reachable,
                 "instances": sorted(instances, key=lambda one: str(one["name"])),
             },
         )
 
     async def _show_budgets(self, request: Request, partner: str) -> bytes:
-        platform = self._parts.platform
+        platform = self._components.platform
         rows = await platform.run(read_rows(prefixes=(BUDGET_PREFIX,)))
         accounts = await platform.run(read_accounts())
         grants = await platform.run(list_grants())
@@ -251,7 +251,7 @@
         return write_json(request, {"budgets": budgets})
 
     def _owns(self, partner: str, workspace: str) -> bool:
-        document = self._parts.configuration.document
+        document = self._components.configuration.document
         for kind in (Budget, Workspace):
             entity = document.find(kind, workspace)
             if entity is not None:
@@ -261,7 +261,7 @@
     async def _show_bill(self, request: Request, partner: str, workspace: str) -> bytes:
         if not self._owns(partner, workspace):
             return write_error(request, NOT_FOUND, "workspace_not_found", workspace)
-        statement = await self._parts.platform.run(read_statement(workspace))
+        statement = await self._components.platform.run(read_statement(workspace))
         if isinstance(statement, Unreachable):
             return _write_unreachable(request)
         return write_json(
@@ -295,25 +295,25 @@
                 if one.report
                 else [],
             }
-            for one in self._parts.upstreams.known.values()
+            for one in self._components.upstreams.known.values()
         ]
         return write_json(request, {"upstreams": upstreams})
 
     async def _drain(self, request: Request, partner: str, name: str) -> bytes:
-        upstream = self._parts.upstreams.known.get(name)
+        upstream = self._components.upstreams.known.get(name)
         if upstream is None:
             return write_error(request, NOT_FOUND, "upstream_not_found", name)
         if upstream.partner not in ("", partner):
             return write_error(
                 request, FORBIDDEN, "not_owner", f"belongs to {upstream.partner}"
             )
-        self._parts.upstreams.mark_leaving([name])
-        self._parts.peers.announce()
-        stored = await self._parts.platform.run(store_drain(name))
+        self._components.upstreams.mark_leaving([name])
+        self._components.peers.announce()
+        stored = await self._components.platform.run(store_drain(name))
         return write_json(request, {"upstream": name, "stored": stored})
 
     async def _dump(self, request: Request, partner: str) -> bytes:
-        return write_json(request, dump_state(self._parts))
+        return write_json(request, dump_state(self._components))
 
 
 def _write_unreachable(request: Request) -> bytes:
--- a/packages/pondquay-daemon/src/pondquay_daemon/engines.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/engines.py
@@ -30,8 +30,8 @@
 ACCEPT_SECONDS = 5.0
 STALL_SECONDS = 10.0
 QUESTION_SECONDS = 2.0
-MOST_CONNECTIONS = 64
-MOST_LINE_BYTES = 1 << 20
+MAX_CONNECTIONS = 64
+MAX_LINE_BYTES = 1 << 20
 DATA_PREFIX = b"data: "
 END_MARK = b"[DONE]"
 CLIENT_ERRORS = range(400, 500)
@@ -111,7 +111,7 @@
         *lines, self._buffer = self._buffer.split(b"\n")
         for line in lines:
             self._take_line(line.strip())
-        if len(self._buffer) > MOST_LINE_BYTES:
+        if len(self._buffer) > MAX_LINE_BYTES:
             self._stall()
 
     def _take_line(self, line: bytes) -> None:
@@ -174,7 +174,7 @@
         self._reactor = reactor
         agent = Agent(
             reactor,
-            pool=make_pool(reactor, MOST_CONNECTIONS),
+            pool=make_pool(reactor, MAX_CONNECTIONS),
             connectTimeout=CONNECT_SECONDS,
         )
         self._http = treq.client.HTTPClient(agent)
--- a/packages/pondquay-daemon/src/pondquay_daemon/grants.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/grants.py
@@ -11,7 +11,7 @@
 
 from pondquay.budgets.holder import Holder
 from pondquay.budgets.holdings import Attempt, AttemptState
-from pondquay.budgets.manager import MOST_ADJUSTMENTS, GrantManager, Refill
+from pondquay.budgets.manager import MAX_ADJUSTMENTS, GrantManager, Refill
 from pondquay.budgets.messages import (
     Acknowledge,
     Recall,
@@ -37,7 +37,7 @@
 FLUSH_CHECK_SECONDS = 0.25
 FLUSH_SECONDS = 2.0
 MAINTAIN_SECONDS = 1.0
-MOST_TRIES = 4
+MAX_TRIES = 4
 RECALL_SECONDS = 0.15
 # A request waits no longer than this for the table; tokens that come later stay here.
 REFILL_SECONDS = 0.2
@@ -116,7 +116,7 @@
         """
         self.manager.demands.note(request.workspace, tokens)
         recalled = False
-        for _ in range(MOST_TRIES):
+        for _ in range(MAX_TRIES):
             attempt = self.holder.reserve(
                 request, tokens, upstream, self.manager.is_usable, boot
             )
@@ -183,9 +183,9 @@
             self._peers.links.broadcast(Recall(workspace, tokens))
             await sleep(RECALL_SECONDS, self.clock)
 
-    async def _answer_recall(self, recall: Recall) -> None:
+    async def _handle_recall(self, recall: Recall) -> None:
         async with self._lock:
-            await self._platform.run(self.manager.answer_recall(recall))
+            await self._platform.run(self.manager.handle_recall(recall))
 
     async def _refill(self) -> None:
         try:
@@ -198,7 +198,7 @@
     async def _refill_once(self) -> None:
         """Ask for what all waiting requests need, in one transaction."""
         async with self._lock:
-            waiting = dict(list(self._waiters.items())[:MOST_ADJUSTMENTS])
+            waiting = dict(list(self._waiters.items())[:MAX_ADJUSTMENTS])
             for workspace in waiting:
                 del self._waiters[workspace]
             wanted = {
@@ -265,7 +265,7 @@
 
     # What witnesses answer, and what holders ask
 
-    def receive_answer(self, message: WitnessMessage) -> None:
+    def receive_response(self, message: WitnessMessage) -> None:
         """Take in a witness's answer."""
         match message:
             case Acknowledge(grant, seqs):
@@ -288,7 +288,7 @@
     def receive_call(self, message: HolderMessage | Recall) -> WitnessMessage | None:
         """Answer a holder, as its witness."""
         if isinstance(message, Recall):
-            spawn(self._answer_recall(message), "GrantTask")
+            spawn(self._handle_recall(message), "GrantTask")
             return None
         return self.witness.receive(message)
 
@@ -312,7 +312,7 @@
         for witness, forget in progress.notices:
             self._peers.send(witness, forget)
 
-    async def hand_back(self, still_running: Callable[[], int]) -> bool:
+    async def return_unspent(self, still_running: Callable[[], int]) -> bool:
         """Close all grants, for a planned stop; ``True`` once all are closed.
 
         :param still_running: tells how many requests have not ended
--- a/packages/pondquay-daemon/src/pondquay_daemon/links.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/links.py
@@ -22,7 +22,7 @@
 from pondquay_daemon.logs import Level, log_event
 from pondquay_daemon.tasks import Task, spawn
 from pondquay_daemon.wire import (
-    MOST_FRAME_BYTES,
+    MAX_FRAME_BYTES,
     Challenge,
     Proof,
     Welcome,
@@ -37,12 +37,12 @@
     from pondquay.addresses import Address
 
 NONCE_BYTES = 32
-MOST_PROOF_BYTES = 1024
-MOST_UNSENT_BYTES = 4 << 20
+MAX_PROOF_BYTES = 1024
+MAX_UNSENT_BYTES = 4 << 20
 HANDSHAKE_SECONDS = 3.0
 REDIAL_SECONDS = 0.25
 CONNECT_SECONDS = 1.0
-MOST_LINKS = 1024
+MAX_LINKS = 1024
 
 
 class LinkHandler(ABC):
@@ -61,7 +61,7 @@
         """Answer a message that a peer sent on the link it dialled."""
 
     @abstractmethod
-    def receive_answer(self, peer: InstanceId, message: Any) -> None:
+    def receive_response(self, peer: InstanceId, message: Any) -> None:
         """Take an answer that came back on a link that we dialled."""
 
 
@@ -74,7 +74,7 @@
 class LinkProtocol(Int32StringReceiver):
     """One link, on either side; after the handshake it passes messages on."""
 
-    MAX_LENGTH = MOST_PROOF_BYTES
+    MAX_LENGTH = MAX_PROOF_BYTES
     transport: Any
 
     def __init__(self, links: Links, address: Address | None) -> None:
@@ -117,7 +117,7 @@
     def send(self, message: Any) -> None:
         """Send a message; a link that takes none for long is cut."""
         frame = encode_message(message)
-        if self._unsent_paused and self._unsent_bytes() > MOST_UNSENT_BYTES:
+        if self._unsent_paused and self._unsent_bytes() > MAX_UNSENT_BYTES:
             self.cut("peer does not read")
             return
         self.sendString(frame)  # type: ignore[no-untyped-call]
@@ -160,7 +160,7 @@
         self._timer.cancel()
         self.peer = InstanceId(message.name, message.boot)
         self.domain = message.domain
-        self.MAX_LENGTH = MOST_FRAME_BYTES
+        self.MAX_LENGTH = MAX_FRAME_BYTES
         self.links.opened(self)
 
     def cut(self, reason: str) -> None:
@@ -187,7 +187,7 @@
 
     def buildProtocol(self, addr: object) -> LinkProtocol | None:  # noqa: N802
         """Return the protocol of a new link, unless there are too many."""
-        if self._address is None and self._links.accepted >= MOST_LINKS:
+        if self._address is None and self._links.accepted >= MAX_LINKS:
             return None
         return LinkProtocol(self._links, self._address)
 
@@ -309,11 +309,11 @@
     def receive(self, link: LinkProtocol, peer: InstanceId, message: Any) -> None:
         """Pass a message to the task, and its answer back."""
         if link.dialled:
-            self._handler.receive_answer(peer, message)
+            self._handler.receive_response(peer, message)
             return
-        answer = self._handler.receive_call(peer, message)
-        if answer is not None:
-            link.send(answer)
+        response = self._handler.receive_call(peer, message)
+        if response is not None:
+            link.send(response)
 
     def is_connected(self, peer: InstanceId) -> bool:
         """Tell whether a link that we dialled stands."""
--- a/packages/pondquay-daemon/src/pondquay_daemon/logbudget.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/logbudget.py
@@ -13,10 +13,10 @@
 # Lines a second of one kind of event, and of all events that are alike in whether they
 # tell of a failure. Failures have a budget of their own, so that successes never crowd
 # them out.
-MOST_OF_KIND = 100
-MOST_OF_ALL = 300
+MAX_OF_KIND = 100
+MAX_OF_ALL = 300
 # What waits for a slow reader; beyond it lines are left out.
-MOST_PENDING_BYTES = 1 << 18
+MAX_PENDING_BYTES = 1 << 18
 
 
 class LineBudget:
@@ -40,7 +40,7 @@
             self._second = int(now)
             self._kinds.clear()
             self._all.clear()
-        within = self._kinds[event] < MOST_OF_KIND and self._all[failure] < MOST_OF_ALL
+        within = self._kinds[event] < MAX_OF_KIND and self._all[failure] < MAX_OF_ALL
         if not within:
             self.leave_out(event)
             return False
@@ -82,7 +82,7 @@
             self._stream.flush()
             return True
         data = line.encode()
-        if len(self._pending) + len(data) > MOST_PENDING_BYTES:
+        if len(self._pending) + len(data) > MAX_PENDING_BYTES:
             self._flush(self._pipe)
             return False
         self._pending += data
--- a/packages/pondquay-daemon/src/pondquay_daemon/parts.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/parts.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(slots=True)
-class InstanceParts:
+class InstanceComponents:
     """What an instance consists of.
 
     :param stopping: whether a planned stop has begun
--- a/packages/pondquay-daemon/src/pondquay_daemon/peers.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/peers.py
@@ -26,7 +26,7 @@
     from pondquay.names import InstanceId, RequestName
 
 HEARTBEAT_SECONDS = 0.5
-ANSWER_SECONDS = 0.5
+RESPONSE_SECONDS = 0.5
 GIVE_UP_SECONDS = 30.0
 
 
@@ -38,7 +38,7 @@
         """Return our own heartbeat."""
 
     @abstractmethod
-    def hear_peer(self, heartbeat: Heartbeat) -> None:
+    def receive_peer(self, heartbeat: Heartbeat) -> None:
         """Take in what a peer said of itself."""
 
     @abstractmethod
@@ -54,7 +54,7 @@
         """Answer the holder of a grant."""
 
     @abstractmethod
-    def receive_budget_answer(self, message: Any) -> None:
+    def receive_budget_response(self, message: Any) -> None:
         """Take in the answer of a witness."""
 
     @abstractmethod
@@ -110,7 +110,7 @@
         self.links.broadcast(self.listener.describe())
         now = self.clock.seconds()
         for instance in self.table.suspects(now):
-            if now - self.table.known[instance].heard > GIVE_UP_SECONDS:
+            if now - self.table.known[instance].last_seen_at > GIVE_UP_SECONDS:
                 self.table.forget(instance)
 
     def now(self) -> float:
@@ -171,12 +171,12 @@
             waiters.append((peer, number, waiter))
         found = []
         for peer, number, waiter in waiters:
-            answer = await wait_at_most(waiter, ANSWER_SECONDS, self.clock, None)
+            response = await wait_at_most(waiter, RESPONSE_SECONDS, self.clock, None)
             self._questions.pop(number, None)
-            if answer is None:
+            if response is None:
                 continue
-            if answer.attempt is not None or answer.holder_alive:
-                found.append((peer, answer))
+            if response.attempt is not None or response.holder_alive:
+                found.append((peer, response))
         return found
 
     def ask_deltas(self, base: int) -> bool:
@@ -192,7 +192,7 @@
     def link_opened(self, peer: InstanceId, domain: str) -> None:
         """Greet a peer on a new link."""
         log_event("peer-connected", peer=peer, domain=domain)
-        self.table.hear(Heartbeat(peer, domain, 0, False), self.now())
+        self.table.receive(Heartbeat(peer, domain, 0, False), self.now())
         self.links.send(peer, self.listener.describe())
         self.listener.link_opened(peer)
 
@@ -209,8 +209,8 @@
         """Answer a peer."""
         match message:
             case Heartbeat():
-                self.table.hear(message, self.now())
-                self.listener.hear_peer(message)
+                self.table.receive(message, self.now())
+                self.listener.receive_peer(message)
                 return None
             case FindRequest():
                 return self.listener.find_request(peer, message)
@@ -219,7 +219,7 @@
             case _:
                 return self.listener.receive_budget_call(message)
 
-    def receive_answer(self, peer: InstanceId, message: Any) -> None:
+    def receive_response(self, peer: InstanceId, message: Any) -> None:
         """Take in a peer's answer."""
         match message:
             case FoundRequest(number):
@@ -229,4 +229,4 @@
             case Deltas():
                 self.listener.receive_deltas(message)
             case _:
-                self.listener.receive_budget_answer(message)
+                self.listener.receive_budget_response(message)
--- a/packages/pondquay-daemon/src/pondquay_daemon/platform.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/platform.py
@@ -47,7 +47,7 @@
 OK = 200
 CONFLICT = 409
 TOO_MANY = 429
-MOST_CONNECTIONS = 8
+MAX_CONNECTIONS = 8
 
 NETWORK_ERRORS = (
     ConnectError,
@@ -84,7 +84,7 @@
 _ROW: TypeAdapter[list[Row]] = TypeAdapter(list[Row])
 
 
-def make_pool(reactor: Any, most: int = MOST_CONNECTIONS) -> HTTPConnectionPool:
+def make_pool(reactor: Any, most: int = MAX_CONNECTIONS) -> HTTPConnectionPool:
     """Return a connection pool that never sends a request twice by itself."""
     pool = HTTPConnectionPool(reactor, persistent=True)
     pool.maxPersistentPerHost = most
--- a/packages/pondquay-daemon/src/pondquay_daemon/progress.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/progress.py
@@ -11,7 +11,7 @@
 
 if TYPE_CHECKING:
     from pondquay.budgets.holdings import Attempt
-    from pondquay.requests.lifecycle import RequestLife
+    from pondquay.requests.lifecycle import RequestLifecycle
     from pondquay_daemon.upstreams import Placement
 
 RETRY_SECONDS = 1
@@ -27,7 +27,7 @@
     """
 
     call: Call
-    life: RequestLife
+    life: RequestLifecycle
     nonce: str = ""
     failed: set[str] = field(default_factory=set)
     attempts: int = 0
--- a/packages/pondquay-daemon/src/pondquay_daemon/recovery.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/recovery.py
@@ -18,12 +18,12 @@
 from pondquay.names import AttemptId, RequestName
 from pondquay.requests.lifecycle import Outcome
 from pondquay.routing.upstreams import ENGINE
-from pondquay.streams import Answer, Frame
+from pondquay.streams import Frame, Response
 from pondquay.tables import Unreachable
 from pondquay_daemon.calls import (
+    CachedResponse,
     CompletionCall,
     FrameSink,
-    KeptAnswer,
     Refusal,
     RefusalCode,
 )
@@ -49,10 +49,10 @@
 FOLD_SECONDS = 2.0
 ORPHAN_SECONDS = 5.0
 FOLD = "fold"
-MOST_FOLDS = 20
+MAX_FOLDS = 20
 REPORT_SECONDS = 2.0
 RETRY_SECONDS = 1
-MOST_RESUMES = 3
+MAX_RESUMES = 3
 
 
 @dataclass(frozen=True, slots=True)
@@ -107,7 +107,7 @@
         await self._platform.run(self._fold_lease.renew(self.clock.seconds()))
         if not self._fold_lease.held:
             return
-        for _ in range(MOST_FOLDS):
+        for _ in range(MAX_FOLDS):
             folded = await self._platform.run(fold_segments())
             if isinstance(folded, Unreachable) or folded.segments == 0:
                 return
@@ -123,8 +123,8 @@
             upstream = self._upstreams.known.get(name)
             if upstream is None:
                 continue
-            answer = await self._engines.cancel(upstream.url, attempt.stream)
-            status = answer.seen_from(attempt.boot)
+            response = await self._engines.cancel(upstream.url, attempt.stream)
+            status = response.seen_from(attempt.boot)
             if status.state is StreamState.FINISHED:
                 await self._grants.settle(attempt, status.tokens)
             elif status.state is StreamState.CANCELLED:
@@ -137,14 +137,14 @@
 
     async def _sweep(self) -> None:
         await self._ask_lost()
-        for grant in self.succession.seal_silent():
+        for grant in self.succession.seal_unresponsive():
             log_event("grant-sealed", grant=grant)
         await self._search_unheard()
         for sealed in list(self.succession.sealed.values()):
             known = self._witness.grants.get(sealed.id)
             if known is not None and sealed.closed:
                 await self._ask_open(known)
-            await self._platform.run(self.succession.wind_up(sealed))
+            await self._platform.run(self.succession.close_sealed(sealed))
 
     async def _search_unheard(self) -> None:
         """Look in the table for grants of silent holders that name us as witness."""
@@ -249,7 +249,7 @@
 
     async def take_over(
         self, call: CompletionCall, sink: FrameSink
-    ) -> KeptAnswer | Refusal | None:
+    ) -> CachedResponse | Refusal | None:
         """Pass on the answer of an attempt whose instance died.
 
         :returns: ``None`` if there is no such attempt, or it turned out not to run
@@ -260,10 +260,10 @@
         upstream = self._upstreams.known.get(found.upstream)
         if upstream is None:
             return None
-        answer = Answer(found.stream)
-        await self._replay(upstream.url, answer, sink)
-        if not answer.whole:
-            if not answer.frames and call.repeatable:
+        response = Response(found.stream)
+        await self._replay(upstream.url, response, sink)
+        if not response.whole:
+            if not response.frames and call.repeatable:
                 return None
             return Refusal(
                 RefusalCode.OUTCOME_UNKNOWN,
@@ -271,12 +271,12 @@
                 Outcome.UNKNOWN,
                 RETRY_SECONDS,
             )
-        last = answer.frames[-1]
+        last = response.frames[-1]
         tokens = last.prompt_tokens + last.output_tokens
         await self._report_end(found, call.request, tokens)
         sink.pass_on(last)
         log_event("request-taken-over", request=call.request, attempt=found.attempt)
-        return KeptAnswer(call.content, tokens, tuple(answer.frames))
+        return CachedResponse(call.content, tokens, tuple(response.frames))
 
     async def _find_attempt(self, request: RequestName) -> _Found | Refusal | None:
         own = self._witness.find_request(request)
@@ -285,30 +285,34 @@
             attempt = AttemptId(newest.grant, newest.intent.seq)
             return _Found(None, attempt, newest.intent.upstream, newest.intent.stream)
         found = await self._peers.find_request(request)
-        if own or any(answer.holder_alive for _, answer in found):
+        if own or any(response.holder_alive for _, response in found):
             return Refusal(
                 RefusalCode.REQUEST_RUNNING,
                 "a request with this key is running at another instance",
                 Outcome.UNKNOWN,
                 RETRY_SECONDS,
             )
-        for peer, answer in found:
-            if answer.attempt is not None:
-                return _Found(peer, answer.attempt, answer.upstream, answer.stream)
+        for peer, response in found:
+            if response.attempt is not None:
+                return _Found(
+                    peer, response.attempt, response.upstream, response.stream
+                )
         return None
 
-    async def _replay(self, url: str, answer: Answer, sink: FrameSink) -> None:
+    async def _replay(self, url: str, response: Response, sink: FrameSink) -> None:
         def take(frame: Frame) -> None:
-            answer.take(frame)
-            if answer.frames and answer.frames[-1] is frame and not frame.finish:
+            response.take(frame)
+            if response.frames and response.frames[-1] is frame and not frame.finish:
                 sink.pass_on(frame)
 
-        for _ in range(MOST_RESUMES):
+        for _ in range(MAX_RESUMES):
             try:
-                await self._engines.resume(url, answer.stream, answer.next_offset, take)
+                await self._engines.resume(
+                    url, response.stream, response.next_offset, take
+                )
             except (RefusedError, MayHaveRunError):
                 return
-            if answer.whole:
+            if response.whole:
                 return
 
     async def _report_end(
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/accounts.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/accounts.py
@@ -8,7 +8,7 @@
 
 from pondquay.budgets.accounts import Account, Refused
 from pondquay.budgets.allotments import AllotmentRow
-from pondquay.budgets.headroom import plan_headroom, want_tokens
+from pondquay.budgets.headroom import plan_headroom, request_tokens
 from pondquay.errors import MalformedRowError
 from pondquay.tables import ABSENT
 from pondquay_daemon.logs import Level, log_event
@@ -38,7 +38,7 @@
 # Seconds after which a caller that was refused should come back while the table is out
 # of reach: an outage lasts.
 AFTER_OUTAGE = 2.0
-HAND_BACK_ATTEMPTS = 4
+RETURN_UNSPENT_ATTEMPTS = 4
 # As often as the others of ten lenders may come first, where all write a row at once.
 WRITE_ATTEMPTS = 10
 
@@ -137,7 +137,7 @@
                 break
             if self.clock.seconds() + wait > until:
                 break
-            want_tokens(account, tokens)
+            request_tokens(account, tokens)
             self._adjust_soon(workspace)
             await sleep(wait, self.clock)
             refused = account.reserve(tokens)
@@ -199,10 +199,10 @@
         if account is None or self._closed:
             return 0
         if account.unspent < tokens:
-            want_tokens(account, tokens)
+            request_tokens(account, tokens)
             if ahead:
                 self._refill_soon(workspace, account, tokens)
-        lent = account.lend_ahead(tokens, ahead)
+        lent = account.lend_headroom(tokens, ahead)
         if ahead:
             # The borrower's demand is met from here and shows nowhere else.
             account.demand.note_lent(max(tokens, lent), self.clock.seconds())
@@ -220,7 +220,7 @@
         """
         if not self._loans.lends(workspace):
             return
-        if self._reachable() and tokens <= account.most_headroom():
+        if self._reachable() and tokens <= account.max_headroom():
             return
         self._borrow_soon(workspace, self._loans.refill(account, workspace, tokens))
 
@@ -265,21 +265,21 @@
         """Replace a reservation by what was used of it."""
         self._accounts[workspace].settle(reserved, used)
 
-    async def hand_back(self) -> None:
+    async def return_unspent(self) -> None:
         """Close this life's allotments: what was not spent returns to the budgets.
 
         Where the store certainly did not take the close, a peer gets the tokens.
         """
         self._closed = True
         steps = [
-            Deferred.fromCoroutine(self._hand_back(name, account))
+            Deferred.fromCoroutine(self._return_unspent(name, account))
             for name, account in self._accounts.items()
         ]
         await gatherResults(steps)
 
-    async def _hand_back(self, name: str, account: Account) -> None:
+    async def _return_unspent(self, name: str, account: Account) -> None:
         closed: bool | None = None
-        for _ in range(HAND_BACK_ATTEMPTS):
+        for _ in range(RETURN_UNSPENT_ATTEMPTS):
             closed = self._reachable() and await self._close(name, account)
             if closed is not None:
                 break
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/admission.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/admission.py
@@ -14,8 +14,8 @@
     from pondquay.routes.entities import Route, RoutedWorkspace
     from pondquay.routes.table import RouteTable
     from pondquay_daemon.relay.border import Border
-    from pondquay_daemon.relay.ingress import CallerAnswer
-    from pondquay_daemon.relay.messages import RequestHead, RequestMarks
+    from pondquay_daemon.relay.ingress import CallerResponse
+    from pondquay_daemon.relay.messages import RequestHead, RequestMetadata
 
 BAD_REQUEST = 400
 UNAUTHORIZED = 401
@@ -42,7 +42,7 @@
 class Admission:
     """A request that has a route and an owner."""
 
-    marks: RequestMarks
+    metadata: RequestMetadata
     route: Route
     workspace: RoutedWorkspace | None
     service: str
@@ -64,28 +64,28 @@
     if table is None:
         return Refusal(UNAVAILABLE, "no configuration yet", LATER)
     try:
-        marks = border.read_request(head)
+        metadata = border.read_request(head)
     except MalformedValueError as error:
         return Refusal(BAD_REQUEST, str(error))
-    route = table.find_route(marks.host, head.path)
+    route = table.find_route(metadata.host, head.path)
     if route is None:
         if not current:
             return Refusal(UNAVAILABLE, "unknown route, old configuration", SOON)
         return Refusal(NOT_FOUND, "no such route")
     workspace = None
     if table.needs_keys and not route.public:
-        workspace = table.find_workspace(marks.key or "")
+        workspace = table.find_workspace(metadata.key or "")
         if workspace is None and not current:
             return Refusal(UNAVAILABLE, "unknown key, old configuration", SOON)
         if workspace is None:
             return Refusal(UNAUTHORIZED, "unknown key")
-    return Admission(marks, route, workspace, choose_service(route, random))
+    return Admission(metadata, route, workspace, choose_service(route, random))
 
 
 def send_refusal(
-    border: Border, answer: CallerAnswer, attempt: str, refusal: Refusal
+    border: Border, response: CallerResponse, attempt: str, refusal: Refusal
 ) -> None:
     """Give a caller an answer of the relay's own."""
     headers = border.write_refusal(attempt, refusal.retry_after)
     body = f"{refusal.reason}\n".encode()
-    answer.send_whole(refusal.status, headers, body)
+    response.send_whole(refusal.status, headers, body)
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/allotmentrows.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/allotmentrows.py
@@ -32,7 +32,7 @@
 # Pause after a failed call, and how often it doubles after several in a row: the table
 # turns writes away that it cannot take, and those that come again at once keep it full.
 RETRY_SECONDS = 0.1
-MOST_DOUBLINGS = 4
+MAX_DOUBLINGS = 4
 
 
 class AllotmentRows:
@@ -113,7 +113,7 @@
 
     async def _pause(self, name: str) -> None:
         """Wait after a failed call, longer after each further one."""
-        doublings = min(MOST_DOUBLINGS, self._failures[name])
+        doublings = min(MAX_DOUBLINGS, self._failures[name])
         self._failures[name] += 1
         longest = RETRY_SECONDS * 2**doublings
         await sleep(uniform(RETRY_SECONDS, longest), self._clock)
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/attempts.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/attempts.py
@@ -21,12 +21,12 @@
     from pondquay_daemon.relay.border import Border
     from pondquay_daemon.relay.egress import EgressPool
     from pondquay_daemon.relay.errors import BrokenExchangeError
-    from pondquay_daemon.relay.ingress import CallerAnswer
+    from pondquay_daemon.relay.ingress import CallerResponse
     from pondquay_daemon.relay.messages import (
-        AnswerHead,
-        AnswerMarks,
         HeaderList,
-        UpstreamSigns,
+        ResponseHead,
+        ResponseMetadata,
+        UpstreamSignals,
     )
 
 SUCCESS = range(200, 300)
@@ -61,7 +61,7 @@
 class Answered:
     """The upstream's whole answer, which has not been passed on."""
 
-    head: AnswerHead
+    head: ResponseHead
     body: bytes
 
 
@@ -126,19 +126,19 @@
     """What is told of an upstream while an attempt is under way there."""
 
     @abstractmethod
-    def heard(self) -> None:
+    def on_data(self) -> None:
         """Learn that something came from it."""
 
     @abstractmethod
-    def answers(self) -> None:
+    def on_response(self) -> None:
         """Learn that it answers the request, so that it has read its prompt."""
 
     @abstractmethod
-    def paused(self, seconds: float) -> None:
+    def on_pause(self, seconds: float) -> None:
         """Learn how long two events of the attempt lay apart."""
 
     @abstractmethod
-    def said(self, signs: UpstreamSigns) -> None:
+    def on_signals(self, signals: UpstreamSignals) -> None:
         """Learn what its answer says of it; only this upstream can have said it."""
 
 
@@ -154,7 +154,7 @@
         clock: IReactorTime,
         border: Border,
         attempt: str,
-        answer: CallerAnswer,
+        response: CallerResponse,
         progress: StreamProgress | None,
         upstream: UpstreamListener,
     ) -> None:
@@ -162,11 +162,11 @@
         self._clock = clock
         self._border = border
         self._attempt = attempt
-        self._answer = answer
+        self._response = response
         self._progress = progress
         self._exchange: Exchange | None = None
         self._result: Deferred[Outcome] = Deferred()
-        self._head: AnswerHead | None = None
+        self._head: ResponseHead | None = None
         self._not_run: NotRun | None = None
         self._body: list[bytes] = []
         self._streaming = False
@@ -205,22 +205,22 @@
         sent = self._exchange is not None and self._exchange.sent
         self._end(Stopped(sent), cancel=True)
 
-    def answered(self, head: AnswerHead) -> None:
+    def answered(self, head: ResponseHead) -> None:
         """Judge the head of the answer."""
         self._touch()
-        marks = self._border.read_answer(head)
-        if marks.not_run or marks.attempt == self._attempt:
-            self._take_signs(marks)
-        if marks.not_run or marks.misdirected:
-            self._not_run = NotRun(head.status, marks.misdirected)
+        metadata = self._border.read_response(head)
+        if metadata.not_run or metadata.attempt == self._attempt:
+            self._take_signals(metadata)
+        if metadata.not_run or metadata.misdirected:
+            self._not_run = NotRun(head.status, metadata.misdirected)
             return
-        if marks.attempt != self._attempt:
+        if metadata.attempt != self._attempt:
             self._lose("an answer to another request")
             return
-        if head.status in SUCCESS and not marks.signed:
+        if head.status in SUCCESS and not metadata.signed:
             self._lose("a success that no upstream vouches for")
             return
-        self._upstream.answers()
+        self._upstream.on_response()
         self._head = head
         self._streaming = self._progress is not None and head.status in SUCCESS
 
@@ -243,7 +243,7 @@
             pause = progress.note_events(now)
             # A pause that began at another upstream says nothing of this one.
             if pause is not None and self._first_event is not None:
-                self._upstream.paused(pause)
+                self._upstream.on_pause(pause)
             if self._first_event is None:
                 self._first_event = now
             self._pass_on(whole, progress)
@@ -276,10 +276,10 @@
         else:
             self._end(Lost(str(error), broken=True, streamed=self._streamed()))
 
-    def _take_signs(self, marks: AnswerMarks) -> None:
+    def _take_signals(self, metadata: ResponseMetadata) -> None:
         # An address may have gone to another upstream, whose signs these are then.
-        if not marks.misdirected:
-            self._upstream.said(marks.signs)
+        if not metadata.misdirected:
+            self._upstream.on_signals(metadata.signals)
 
     def _streamed(self) -> float:
         """Return the seconds for which events have been coming."""
@@ -289,19 +289,19 @@
 
     def _pass_on(self, whole: bytes, progress: StreamProgress) -> None:
         if progress.started:
-            self._answer.send(whole)
+            self._response.send(whole)
             return
         if self._head is None:
             return
         progress.started = True
         headers = drop_connection_headers(self._head.headers)
-        self._answer.begin(self._head.status, headers, whole)
+        self._response.begin(self._head.status, headers, whole)
 
     def _lose(self, reason: str) -> None:
         self._end(Lost(reason), cancel=True)
 
     def _touch(self) -> None:
-        self._upstream.heard()
+        self._upstream.on_data()
         if self._watch is None or not self._watch.active():
             return
         if self._judging:
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/border.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/border.py
@@ -17,12 +17,12 @@
     from pondquay.routes.entities import RoutingConfiguration
     from pondquay.routing.upstreamrecords import UpstreamRecord
     from pondquay_daemon.relay.messages import (
-        AnswerHead,
-        AnswerMarks,
         Dispatch,
         HeaderList,
         RequestHead,
-        RequestMarks,
+        RequestMetadata,
+        ResponseHead,
+        ResponseMetadata,
     )
     from pondquay_daemon.relay.settings import RelaySettings
     from pondquay_daemon.relay.store import Store
@@ -73,7 +73,7 @@
         """
 
     @abstractmethod
-    def find_emptied_domain(self, key: str) -> str | None:
+    def find_evacuated_domain(self, key: str) -> str | None:
         """Return the domain that a row of the configuration's table asks to empty.
 
         :returns: ``None`` for rows of another kind
@@ -87,7 +87,7 @@
         """
 
     @abstractmethod
-    def read_request(self, head: RequestHead) -> RequestMarks:
+    def read_request(self, head: RequestHead) -> RequestMetadata:
         """Read what a caller says of its request.
 
         :raises MalformedValueError: if a header has another form
@@ -102,7 +102,7 @@
         """Return the caller's headers with what the upstream has to be told."""
 
     @abstractmethod
-    def read_answer(self, head: AnswerHead) -> AnswerMarks:
+    def read_response(self, head: ResponseHead) -> ResponseMetadata:
         """Read what an upstream says of its answer."""
 
     @abstractmethod
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/contacts.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/contacts.py
@@ -11,68 +11,72 @@
 
 if TYPE_CHECKING:
     from pondquay.routing.knownupstreams import KnownUpstream
-    from pondquay_daemon.relay.messages import UpstreamSigns
-    from pondquay_daemon.relay.parts import RelayParts
-    from pondquay_daemon.relay.readings import PromptReading
+    from pondquay_daemon.relay.messages import UpstreamSignals
+    from pondquay_daemon.relay.parts import RelayComponents
+    from pondquay_daemon.relay.readings import Prefill
 
 
 # Where the news came from, for the logs.
-FROM_ANSWER = "answer"
+FROM_RESPONSE = "answer"
 
 
 class UpstreamContact(UpstreamListener):
     """One attempt's upstream, in the life to which the request was sent.
 
-    :param reading: the attempt's prompt there
-    :param most_pause: seconds between two events at which a stream is in time still,
+    :param prefill: the attempt's prompt there
+    :param max_pause: seconds between two events at which a stream is in time still,
         ``None`` where the route gives no such bound
     """
 
     def __init__(
         self,
-        parts: RelayParts,
+        components: RelayComponents,
         upstream: KnownUpstream,
-        reading: PromptReading,
-        most_pause: float | None,
+        prefill: Prefill,
+        max_pause: float | None,
     ) -> None:
-        self._parts = parts
+        self._components = components
         self._upstream = upstream
-        self._reading = reading
-        self._most_pause = most_pause
-        self._placed_at = parts.clock.seconds()
+        self._prefill = prefill
+        self._max_pause = max_pause
+        self._placed_at = components.clock.seconds()
 
-    def heard(self) -> None:
+    def on_data(self) -> None:
         """Learn that something came from it."""
-        self._reading.note_heard()
+        self._prefill.note_response()
 
-    def answers(self) -> None:
+    def on_response(self) -> None:
         """Learn that it answers the request, so that it has read its prompt."""
-        self._reading.note_read()
+        self._prefill.note_prefilled()
 
-    def paused(self, seconds: float) -> None:
+    def on_pause(self, seconds: float) -> None:
         """Learn how long two events of the attempt lay apart."""
-        if self._most_pause is not None:
-            now = self._parts.clock.seconds()
-            self._upstream.pauses.note(seconds, self._most_pause, now)
+        if self._max_pause is not None:
+            now = self._components.clock.seconds()
+            self._upstream.pauses.note(seconds, self._max_pause, now)
 
-    def said(self, signs: UpstreamSigns) -> None:
+    def on_signals(self, signals: UpstreamSignals) -> None:
         """Take in what the upstream says of itself."""
-        now = self._parts.clock.seconds()
-        if signs.cold:
-            self._upstream.note_cold(signs.cold, now)
-        if signs.backoff:
-            directory = self._parts.directory
-            directory.note_backoff(self._upstream, signs.backoff, self._reached_by(now))
+        now = self._components.clock.seconds()
+        if signals.cold:
+            self._upstream.note_cold(signals.cold, now)
+        if signals.backoff:
+            directory = self._components.directory
+            directory.note_backoff(
+                self._upstream, signals.backoff, self._reached_by(now)
+            )
             log_event(
-                "upstream-backoff", upstream=self._upstream.name, seconds=signs.backoff
+                "upstream-backoff",
+                upstream=self._upstream.name,
+                seconds=signals.backoff,
             )
-        if signs.tells_limit:
-            self._parts.permits.note_named(
-                self._upstream, signs.limit, self._placed_at, self._reached_by(now)
+        if signals.tells_limit:
+            self._components.permits.note_named(
+                self._upstream, signals.limit, self._placed_at, self._reached_by(now)
             )
         else:
             log_event("limit-malformed", Level.WARNING, upstream=self._upstream.name)
-        if signs.leaving:
+        if signals.leaving:
             self._note_leaving(self._reached_by(now))
 
     def _reached_by(self, now: float) -> float:
@@ -86,8 +90,8 @@
         out by a request of its own, which may still run there when the upstream ends.
         """
         record = self._upstream.record
-        directory = self._parts.directory
-        if not directory.note_said_leaving(self._upstream, reached_by):
+        directory = self._components.directory
+        if not directory.note_announced_leaving(self._upstream, reached_by):
             return
-        log_event("upstream-leaves", upstream=self._upstream.name, source=FROM_ANSWER)
-        self._parts.announce_departure(Departure(record.name, None, record.born))
+        log_event("upstream-leaves", upstream=self._upstream.name, source=FROM_RESPONSE)
+        self._components.announce_departure(Departure(record.name, None, record.born))
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/crashrows.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/crashrows.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from pondquay.routing.crashes import MOST_BLOCKED, CrashReport
+from pondquay.routing.crashes import MAX_BLOCKED, CrashReport
 from pondquay.tables import (
     ABSENT,
     Committed,
@@ -37,13 +37,13 @@
 RETRY_SECONDS = 0.5
 # Rows beyond those that an instance keeps in memory that one start deletes; each takes
 # a write.
-MOST_DELETED = 16
+MAX_DELETED = 16
 
 
 class CrashRows:
     """Reads the rows once, and writes those of contents that this instance decides on.
 
-    :param hear: takes in what a row says
+    :param receive: takes in what a row says
     :param find: returns what is known now of a content
     """
 
@@ -51,12 +51,12 @@
         self,
         clock: IReactorTime,
         store: Store,
-        hear: Callable[[CrashReport], None],
+        receive: Callable[[CrashReport], None],
         find: Callable[[bytes], CrashReport | None],
     ) -> None:
         self._clock = clock
         self._store = store
-        self._hear = hear
+        self._receive = receive
         self._find = find
         # Contents whose rows have to be written, one after another: while the store is
         # away there is one call at a time, however many contents there are.
@@ -71,10 +71,10 @@
                 break
             await sleep(RETRY_SECONDS, self._clock)
         rows = sorted(reply.rows, key=lambda row: -row.version)
-        for row in reversed(rows[:MOST_BLOCKED]):
+        for row in reversed(rows[:MAX_BLOCKED]):
             self._take(row)
         log_event("crashes-read", count=len(rows))
-        for row in rows[MOST_BLOCKED : MOST_BLOCKED + MOST_DELETED]:
+        for row in rows[MAX_BLOCKED : MAX_BLOCKED + MAX_DELETED]:
             await self._commit(row.key, row.version, None)
 
     def keep(self, report: CrashReport) -> None:
@@ -124,7 +124,7 @@
 
     def _take(self, row: Row) -> None:
         try:
-            self._hear(unpack_report(row.key, row.value))
+            self._receive(unpack_report(row.key, row.value))
         except MalformedValueError as error:
             log_event("crash-row-malformed", Level.ERROR, key=row.key, error=error)
 
@@ -150,7 +150,10 @@
 
 def pack_report(report: CrashReport) -> JsonObject:
     """Return the value of a content's row."""
-    ages = {life: round(report.age(life), 3) for life in sorted(report.crashed)}
+    ages = {
+        incarnation: round(report.age(incarnation), 3)
+        for incarnation in sorted(report.crashed)
+    }
     document = _CrashDocument(list(ages), sorted(report.cleared), report.trials, ages)
     packed: JsonObject = msgspec.to_builtins(document)
     return packed
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/crashwatch.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/crashwatch.py
@@ -43,13 +43,13 @@
 ROW_SECONDS = 8.0
 # Longest that a request waits for such a check, in seconds: its pause, and a connection
 # that comes at the last moment.
-MOST_WAIT_SECONDS = CHECK_SECONDS + CONNECT_SECONDS + STAY_SECONDS
+MAX_WAIT_SECONDS = CHECK_SECONDS + CONNECT_SECONDS + STAY_SECONDS
 # A request whose events have been coming for this long, in seconds, is not what crashed
 # its upstream: one that does so does it as it begins to run. So fewer streams are
 # refused where upstreams crash of something else.
 BEGINNING_SECONDS = 1.0
 # Lost requests that wait at a time to be explained.
-MOST_UNEXPLAINED = 1024
+MAX_UNEXPLAINED = 1024
 FROM_HERE = "here"
 REASON = "upstreams crashed under this request"
 
@@ -101,7 +101,7 @@
 
         What leaves ends at some time, with what still runs there.
         """
-        if upstream.leaving or upstream.vanished is not None:
+        if upstream.leaving or upstream.missing_since is not None:
             return
         name = upstream.name
         broken = self._broken.get(name)
@@ -112,7 +112,7 @@
             self._broken[name] = broken
             address = upstream.record.address
             self._reactor.callLater(CHECK_SECONDS, self._check, name, address)
-        if len(broken.contents) < MOST_UNEXPLAINED:
+        if len(broken.contents) < MAX_UNEXPLAINED:
             broken.contents.add(content)
 
     async def wait_for_check(self, content: bytes) -> None:
@@ -127,7 +127,7 @@
         if crashed + len(pending) < CRASHES_TO_BLOCK:
             return
         for one in pending:
-            await wait_at_most(one.checked, MOST_WAIT_SECONDS, self._reactor, None)
+            await wait_at_most(one.checked, MAX_WAIT_SECONDS, self._reactor, None)
 
     def note_gone(self, upstream: str) -> None:
         """Learn that an upstream's row is gone."""
@@ -150,14 +150,14 @@
             self._log_decision(report, FROM_HERE)
             self._keep(report)
 
-    def hear(self, report: CrashReport, source: str) -> None:
+    def receive(self, report: CrashReport, source: str) -> None:
         """Take in what a peer or the table knows.
 
         What decides about a content goes on to all peers, since not every two instances
         of a large fleet are linked. Other suspicions do not: with a crash come dozens.
         """
         before = self.history.find(report.content)
-        if not self.history.hear(report):
+        if not self.history.receive(report):
             return
         now = self.history.find(report.content)
         if now is None:
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/egress.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/egress.py
@@ -12,7 +12,7 @@
 
 from pondquay_daemon.relay.errors import BrokenExchangeError
 from pondquay_daemon.relay.heads import keep_alive_seconds, wants_close
-from pondquay_daemon.relay.messages import AnswerHead
+from pondquay_daemon.relay.messages import ResponseHead
 
 if TYPE_CHECKING:
     from twisted.internet.interfaces import IAddress, IDelayedCall
@@ -22,10 +22,10 @@
     from pondquay.addresses import Address
     from pondquay_daemon.relay.messages import HeaderList
 
-MOST_ANSWER_HEAD_BYTES = 65536
+MAX_RESPONSE_HEAD_BYTES = 65536
 CONNECT_SECONDS = 0.5
 # A connection rests no longer than this, even where its peer would keep it.
-MOST_REST_SECONDS = 4.0
+MAX_REST_SECONDS = 4.0
 # Taken off what the peer says, so that its close does not cross a request.
 REST_MARGIN_SECONDS = 0.6
 
@@ -34,7 +34,7 @@
     """What is told of an exchange. After ``ended`` or ``broke`` nothing more comes."""
 
     @abstractmethod
-    def answered(self, head: AnswerHead) -> None:
+    def answered(self, head: ResponseHead) -> None:
         """Take the head of the answer."""
 
     @abstractmethod
@@ -57,7 +57,7 @@
         self._pool = pool
         self.address = address
         self._http = h11.Connection(
-            h11.CLIENT, max_incomplete_event_size=MOST_ANSWER_HEAD_BYTES
+            h11.CLIENT, max_incomplete_event_size=MAX_RESPONSE_HEAD_BYTES
         )
         self._listener: ExchangeListener | None = None
         self._rest: int | None = None
@@ -149,7 +149,7 @@
             headers = event.headers.raw_items()
             self._rest = keep_alive_seconds(headers)
             self._close_after = wants_close(headers)
-            listener.answered(AnswerHead(event.status_code, event.reason, headers))
+            listener.answered(ResponseHead(event.status_code, event.reason, headers))
         elif isinstance(event, h11.Data):
             listener.received(bytes(event.data))
         elif isinstance(event, h11.EndOfMessage):
@@ -291,7 +291,7 @@
 
     def rest(self, connection: EgressConnection, seconds: int | None) -> None:
         """Keep a connection for a while."""
-        limit = MOST_REST_SECONDS
+        limit = MAX_REST_SECONDS
         if seconds is not None:
             limit = min(limit, seconds - REST_MARGIN_SECONDS)
         if limit <= 0:
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/evacuationview.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/evacuationview.py
@@ -41,22 +41,22 @@
 
     def take_snapshot(self, snapshot: Snapshot) -> None:
         """Take in the table as a whole."""
-        emptied: dict[str, int] = {}
+        evacuated: dict[str, int] = {}
         for row in snapshot.rows:
-            domain = self._border.find_emptied_domain(row.key)
+            domain = self._border.find_evacuated_domain(row.key)
             if domain is not None:
-                emptied[domain] = row.version
-        for news in self._directory.evacuations.replace(emptied, snapshot.version):
+                evacuated[domain] = row.version
+        for news in self._directory.evacuations.replace(evacuated, snapshot.version):
             self._act(news, STORE)
 
     def take_change(self, change: RowChange) -> None:
         """Take in one row."""
-        domain = self._border.find_emptied_domain(change.key)
+        domain = self._border.find_evacuated_domain(change.key)
         if domain is not None:
             news = Evacuation(domain, change.version, change.value is not None)
             self._take(news, STORE)
 
-    def hear(self, news: Evacuation) -> None:
+    def receive(self, news: Evacuation) -> None:
         """Take in what a peer knows."""
         self._take(news, PEER)
 
@@ -66,12 +66,12 @@
 
     def _act(self, news: Evacuation, source: str) -> None:
         log_event(
-            "domain-emptied" if news.emptied else "domain-taken-back",
+            "domain-emptied" if news.evacuated else "domain-taken-back",
             Level.WARNING,
             domain=news.domain,
             version=news.version,
             source=source,
         )
-        if not news.emptied:
+        if not news.evacuated:
             self._directory.note_taken_back(news.domain, self._cold_seconds)
         self._announce(news)
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/feeds.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/feeds.py
@@ -41,11 +41,11 @@
     def take_change(self, change: RowChange) -> None:
         """Take in one row."""
 
-    def note_followed(self) -> None:
+    def note_synced(self) -> None:
         """Learn that the table answers; called before what it says is taken in."""
         return
 
-    def note_lost(self) -> None:
+    def note_disconnected(self) -> None:
         """Learn that the table does not answer."""
         return
 
@@ -66,15 +66,15 @@
         for one in self._listeners:
             one.take_change(change)
 
-    def note_followed(self) -> None:
+    def note_synced(self) -> None:
         """Learn that the table answers."""
         for one in self._listeners:
-            one.note_followed()
+            one.note_synced()
 
-    def note_lost(self) -> None:
+    def note_disconnected(self) -> None:
         """Learn that the table does not answer."""
         for one in self._listeners:
-            one.note_lost()
+            one.note_disconnected()
 
 
 class TableFeed:
@@ -143,7 +143,7 @@
             succeeded = await self._step()
             self._note(succeeded)
             if not succeeded:
-                self._listener.note_lost()
+                self._listener.note_disconnected()
                 await sleep(uniform(*PAUSE_SECONDS), self._clock)
             elif pause := self._pause():
                 await sleep(pause, self._clock)
@@ -166,7 +166,7 @@
             return False
         took = self._clock.seconds() - asked
         self._read_again_at = asked + max(REREAD_SECONDS, took / REREAD_PART)
-        self._listener.note_followed()
+        self._listener.note_synced()
         self._listener.take_snapshot(reply)
         self._since = max(self._since or 0, reply.version)
         self._confirmed = asked
@@ -186,7 +186,7 @@
         if isinstance(reply, Unreachable):
             self._begin_doubt()
             return False
-        self._listener.note_followed()
+        self._listener.note_synced()
         self._take(reply)
         self._confirmed = self._date(reply, asked)
         return True
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/fetch.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/fetch.py
@@ -16,7 +16,7 @@
     from pondquay.addresses import Address
     from pondquay_daemon.relay.egress import EgressPool
     from pondquay_daemon.relay.errors import BrokenExchangeError
-    from pondquay_daemon.relay.messages import AnswerHead, HeaderList
+    from pondquay_daemon.relay.messages import HeaderList, ResponseHead
 
 
 @dataclass(frozen=True, slots=True)
@@ -35,7 +35,7 @@
         self._status = 0
         self._body: list[bytes] = []
 
-    def answered(self, head: AnswerHead) -> None:
+    def answered(self, head: ResponseHead) -> None:
         """Take the head of the answer."""
         self._status = head.status
 
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/heads.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/heads.py
@@ -25,7 +25,7 @@
 )
 
 # Digits of a time-out that are read; more say no more.
-MOST_DIGITS = 9
+MAX_DIGITS = 9
 
 
 def drop_connection_headers(headers: HeaderList) -> HeaderList:
@@ -67,5 +67,5 @@
         name, _, number = part.strip().partition(b"=")
         digits = number.strip()
         if name.lower() == b"timeout" and digits.isdigit():
-            return int(digits[:MOST_DIGITS])
+            return int(digits[:MAX_DIGITS])
     return None
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/ingress.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/ingress.py
@@ -32,7 +32,7 @@
     """What is done with a request that has been read."""
 
     @abstractmethod
-    def handle(self, head: RequestHead, body: bytes, answer: CallerAnswer) -> None:
+    def handle(self, head: RequestHead, body: bytes, response: CallerResponse) -> None:
         """Begin to answer a request."""
 
     @abstractmethod
@@ -40,7 +40,7 @@
         """Return what a caller may send now."""
 
 
-class CallerAnswer:
+class CallerResponse:
     """The answer to one request, and whether its caller is still there.
 
     :param arrived: when the first byte of the request was read, in seconds
@@ -82,7 +82,7 @@
         """End an answer that is whole."""
         if self.open:
             self.open = False
-            self._connection.finish_answer()
+            self._connection.finish_response()
 
     def break_off(self) -> None:
         """End the connection so that the answer cannot be taken as whole."""
@@ -116,14 +116,14 @@
         self._body: list[bytes] = []
         self._size = 0
         self._arrived: float | None = None
-        self._answer: CallerAnswer | None = None
+        self._response: CallerResponse | None = None
         self._no_body = False
         self._refused = False
 
     @property
     def idle(self) -> bool:
         """Whether nothing has been read of a request, and none is answered."""
-        return self._arrived is None and self._answer is None
+        return self._arrived is None and self._response is None
 
     def connectionMade(self) -> None:
         """Wait for the first request."""
@@ -135,11 +135,11 @@
         """Take bytes of a request; what follows a refused one is not read."""
         if self._refused:
             return
-        if self._arrived is None and self._answer is None:
+        if self._arrived is None and self._response is None:
             self._arrived = self._clock.seconds()
             self._wait(self._handler.limits().header_timeout, self._end_slow)
         self._http.receive_data(data)
-        if self._answer is None:
+        if self._response is None:
             self._read_events()
         elif len(self._http.trailing_data[0]) > READ_AHEAD_BYTES:
             self.abort()
@@ -148,13 +148,13 @@
         """Learn that the caller has gone."""
         self._server.connections.discard(self)
         self._stop_timer()
-        answer, self._answer = self._answer, None
-        if answer is not None:
-            answer.lose()
+        response, self._response = self._response, None
+        if response is not None:
+            response.lose()
 
     def abort(self) -> None:
         """Reset the connection."""
-        self._answer = None
+        self._response = None
         cast("Server", self.transport).abortConnection()
 
     def close(self) -> None:
@@ -178,10 +178,10 @@
             out = self._http.send(h11.Data(data=data))
             cast("Server", self.transport).write(out or b"")
 
-    def finish_answer(self) -> None:
+    def finish_response(self) -> None:
         """Write the end of an answer and go on to the next request."""
         out = self._http.send(h11.EndOfMessage())
-        self._answer = None
+        self._response = None
         if out:
             cast("Server", self.transport).write(out)
         if self._http.our_state is not h11.DONE or (
@@ -197,7 +197,7 @@
             self._clock.callLater(0, self._read_events)
 
     def _read_events(self) -> None:
-        while self._answer is None and not self._refused:
+        while self._response is None and not self._refused:
             try:
                 event = self._http.next_event()
             except h11.RemoteProtocolError as error:
@@ -230,17 +230,17 @@
                 return
             self._body.append(bytes(event.data))
         elif isinstance(event, h11.EndOfMessage):
-            self._begin_answer()
+            self._begin_response()
 
-    def _begin_answer(self) -> None:
+    def _begin_response(self) -> None:
         self._stop_timer()
         head, self._head = self._head, None
         if head is None or self._arrived is None:
             return
         body = b"".join(self._body)
         self._body = []
-        self._answer = CallerAnswer(self, self._arrived)
-        self._handler.handle(head, body, self._answer)
+        self._response = CallerResponse(self, self._arrived)
+        self._handler.handle(head, body, self._response)
 
     def _invite_body(self) -> None:
         if self._http.they_are_waiting_for_100_continue:
@@ -255,10 +255,10 @@
         self._stop_timer()
         if self._http.our_state in (h11.IDLE, h11.SEND_RESPONSE):
             headers = [(b"Content-Length", b"0"), (b"Connection", b"close")]
-            response = h11.Response(status_code=status, headers=headers)
-            out = self._http.send(response)
+            http_response = h11.Response(status_code=status, headers=headers)
+            out = self._http.send(http_response)
             cast("Server", self.transport).write(out or b"")
-        self._answer = None
+        self._response = None
         self.close()
 
     def _wait(self, seconds: float, then: Callable[[], None]) -> None:
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/knowledge.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/knowledge.py
@@ -23,7 +23,7 @@
 
 # Rows that are remembered as malformed, 200 bytes each. Each one beyond is logged at
 # each reading.
-MOST_MALFORMED = 1024
+MAX_MALFORMED = 1024
 
 
 class ConfigurationView(TableListener):
@@ -133,8 +133,10 @@
         if self.known:
             # A first list is all new, and is told by its count alone.
             for one in changed:
-                vanished = one.vanished is not None
-                self._note("upstream-vanished" if vanished else "upstream-changed", one)
+                missing_since = one.missing_since is not None
+                self._note(
+                    "upstream-vanished" if missing_since else "upstream-changed", one
+                )
         self.known = True
         log_event("upstreams-read", count=len(records), version=snapshot.version)
 
@@ -152,17 +154,17 @@
         self._note("upstream-changed", self.directory.put(record, change.version))
         self._note_ended(before, change.key)
 
-    def note_followed(self) -> None:
+    def note_synced(self) -> None:
         """Pass on that the list is being followed."""
-        self.directory.note_followed()
+        self.directory.note_synced()
 
-    def note_lost(self) -> None:
+    def note_disconnected(self) -> None:
         """Pass on that the list cannot be followed."""
-        self.directory.note_lost()
+        self.directory.note_disconnected()
 
     def describe(self) -> list[dict[str, object]]:
         """Return what is known of each upstream, for operators."""
-        left = set(self.directory.list_left())
+        left = set(self.directory.list_departed())
         return [
             {
                 "upstream": one.record.name,
@@ -170,7 +172,7 @@
                 "service": one.record.service,
                 "address": str(one.record.address),
                 "leaving": one.leaving,
-                "vanished": one.vanished is not None,
+                "vanished": one.missing_since is not None,
                 "left": one.name in left,
                 "running": one.running,
                 "reading": one.prompts.own,
@@ -201,7 +203,7 @@
             log_event(
                 "row-malformed", Level.ERROR, upstream=key, version=version, error=error
             )
-        if key in self.malformed or len(self.malformed) < MOST_MALFORMED:
+        if key in self.malformed or len(self.malformed) < MAX_MALFORMED:
             self.malformed[key] = (version, str(error))
         self._note("upstream-unreadable", self.directory.discard(key, version))
 
@@ -217,7 +219,7 @@
         departure = self.directory.find_departure(upstream.name)
         if departure is not None:
             self._on_departure(departure)
-        if upstream.vanished is not None:
+        if upstream.missing_since is not None:
             self._on_gone(upstream.name)
         log_event(
             event,
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/linkplans.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/linkplans.py
@@ -23,9 +23,9 @@
 # Links that an instance opens by itself: those within its domain, since it borrows
 # there; those to lenders of its own workspaces elsewhere; and some others, so that news
 # crosses domains.
-MOST_NEAR_LINKS = 64
-MOST_PARTNER_LINKS = 24
-MOST_FAR_LINKS = 16
+MAX_NEAR_LINKS = 64
+MAX_PARTNER_LINKS = 24
+MAX_FAR_LINKS = 16
 
 
 class LinkPlan:
@@ -76,9 +76,9 @@
         linked_far = {one for one in linked if not self._is_near(members.get(one))}
         linked_near = len(linked) - len(linked_far)
         linked_partners = sum(one in partners for one in linked_far)
-        wanted += _draw(near, MOST_NEAR_LINKS - linked_near)
-        wanted += _draw(lenders, MOST_PARTNER_LINKS - linked_partners)
-        wanted += _draw(others, MOST_FAR_LINKS - len(linked_far) - len(lenders))
+        wanted += _draw(near, MAX_NEAR_LINKS - linked_near)
+        wanted += _draw(lenders, MAX_PARTNER_LINKS - linked_partners)
+        wanted += _draw(others, MAX_FAR_LINKS - len(linked_far) - len(lenders))
         return wanted
 
     def _is_near(self, member: Member | None) -> bool:
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/loandemands.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/loandemands.py
@@ -27,12 +27,12 @@
     """Tokens of one workspace that a peer was asked for.
 
     :param overdue_at: when waiting for the answer no longer helps, in seconds
-    :param answer: fires with the tokens that came
+    :param response: fires with the tokens that came
     """
 
     number: int
     overdue_at: float
-    answer: Deferred[int]
+    response: Deferred[int]
 
 
 class LoanDemands:
@@ -63,16 +63,16 @@
         seconds = demand.overdue_at - now
         if seconds <= 0:
             return 0
-        return await wait_at_most(demand.answer, seconds, self._clock, 0)
+        return await wait_at_most(demand.response, seconds, self._clock, 0)
 
     def end(self, link: PeerLink, loan: Loan) -> None:
         """Take an answer; a loan that nobody asked for ends nothing."""
         demand = self._demands.get((link, loan.workspace))
         if demand is not None and demand.number == loan.number:
             del self._demands[link, loan.workspace]
-            demand.answer.callback(loan.tokens)
+            demand.response.callback(loan.tokens)
 
     def lose(self, link: PeerLink) -> None:
         """End what was asked for on a link that is gone."""
         for key in [one for one in self._demands if one[0] is link]:
-            self._demands.pop(key).answer.callback(0)
+            self._demands.pop(key).response.callback(0)
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/loans.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/loans.py
@@ -10,7 +10,7 @@
 from abc import ABC, abstractmethod
 from typing import TYPE_CHECKING
 
-from pondquay.budgets.headroom import plan_ahead, plan_return, plan_top_up
+from pondquay.budgets.headroom import plan_borrowed_headroom, plan_return, plan_top_up
 from pondquay.budgets.lenders import choose_lenders
 from pondquay_daemon.logs import log_event
 from pondquay_daemon.tasks import sleep
@@ -23,7 +23,7 @@
     from pondquay.budgets.accounts import Account, Refused
     from pondquay.policy import RelayPolicy
 
-MOST_LENDERS = 8
+MAX_LENDERS = 8
 # Waits for a lender to get more from the table before it is asked again.
 ASK_AGAIN_WAITS = (0.03, 0.06)
 
@@ -113,7 +113,11 @@
         if not self._policy.borrow:
             return account.reserve(tokens)
         lends = self.lends(workspace)
-        ahead = 0 if lends else max(1, plan_ahead(account, self._clock.seconds()))
+        ahead = (
+            0
+            if lends
+            else max(1, plan_borrowed_headroom(account, self._clock.seconds()))
+        )
         refused = await self._ask_all(account, workspace, tokens, ahead)
         if lends and self._reachable():
             return refused
@@ -202,7 +206,7 @@
             entry = others.get(peer)
             return near, 0 if entry is None else entry.unspent
 
-        return sorted(reachable, key=order, reverse=True)[:MOST_LENDERS]
+        return sorted(reachable, key=order, reverse=True)[:MAX_LENDERS]
 
     def _choose(self, workspace: str) -> frozenset[str]:
         domains = self._lender.domains
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/messages.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/messages.py
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RequestMarks:
+class RequestMetadata:
     """What a caller's headers say of its request.
 
     :param attempt: the caller's name for this try
@@ -78,7 +78,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerHead:
+class ResponseHead:
     """The head of an upstream's answer."""
 
     status: int
@@ -87,7 +87,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class UpstreamSigns:
+class UpstreamSignals:
     """What an upstream says of itself in an answer.
 
     :param leaving: whether it will end soon and wants no new work
@@ -106,11 +106,11 @@
     tells_limit: bool = True
 
 
-NO_SIGNS = UpstreamSigns()
+NO_SIGNALS = UpstreamSignals()
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerMarks:
+class ResponseMetadata:
     """What an upstream's headers say of its answer and of itself.
 
     :param attempt: the request that it is for, empty if it does not say
@@ -123,4 +123,4 @@
     signed: bool
     not_run: bool
     misdirected: bool
-    signs: UpstreamSigns = NO_SIGNS
+    signals: UpstreamSignals = NO_SIGNALS
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/metrics.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/metrics.py
@@ -59,7 +59,7 @@
         self.limited = self._gauge(
             "upstreams_limited", "Upstreams that name a limit for all instances"
         )
-        self.emptied = self._gauge("emptied_domains", "Domains that get no new work")
+        self.evacuated = self._gauge("emptied_domains", "Domains that get no new work")
         self.emptied_version = self._gauge(
             "emptied_domains_version",
             "Table version of the newest word on emptied domains; all alike: all heard",
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/parts.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/parts.py
@@ -21,12 +21,12 @@
     from pondquay_daemon.relay.crashwatch import CrashWatch
     from pondquay_daemon.relay.egress import EgressPool
     from pondquay_daemon.relay.metrics import RelayMetrics
-    from pondquay_daemon.relay.permits import PermitDesk
+    from pondquay_daemon.relay.permits import PermitBroker
     from pondquay_daemon.relay.placement import Placement
 
 
 @dataclass(slots=True)
-class RelayParts:
+class RelayComponents:
     """What requests share.
 
     :param list_age: returns the seconds since the list of upstreams was confirmed
@@ -49,4 +49,4 @@
     announce_departure: Callable[[Departure], None]
     announce_load: Callable[[KnownUpstream, Iterable[str]], None]
     crashes: CrashWatch
-    permits: PermitDesk
+    permits: PermitBroker
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/peerlinks.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/peerlinks.py
@@ -55,7 +55,7 @@
         self._owner = owner
         self._reader = MessageReader()
         self.instance = ""
-        self.heard = 0.0
+        self.last_seen_at = 0.0
         self.has_sent = False
         self.understood: frozenset[int] = frozenset()
         # The configuration in force at the peer, as it last said.
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/peerlistener.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/peerlistener.py
@@ -31,7 +31,7 @@
         """Take in a configuration that may be newer."""
 
     @abstractmethod
-    def hear_load(
+    def receive_load(
         self, instance: str, upstream: str, tokens: int, parts: list[str]
     ) -> None:
         """Take in what a peer has waiting at an upstream.
@@ -48,7 +48,7 @@
         """Return what is known of upstreams that leave, the newest last."""
 
     @abstractmethod
-    def hear_departure(self, departure: Departure) -> None:
+    def receive_departure(self, departure: Departure) -> None:
         """Take in that an upstream leaves."""
 
     @abstractmethod
@@ -56,7 +56,7 @@
         """Return the newest news of each domain that was ever emptied."""
 
     @abstractmethod
-    def hear_evacuation(self, news: Evacuation) -> None:
+    def receive_evacuation(self, news: Evacuation) -> None:
         """Take in that a domain is emptied or was taken back."""
 
     @abstractmethod
@@ -64,7 +64,7 @@
         """Return what is worth telling of contents under which upstreams crashed."""
 
     @abstractmethod
-    def hear_crash(self, report: CrashReport) -> None:
+    def receive_crash(self, report: CrashReport) -> None:
         """Take in what is known elsewhere of such a content."""
 
     @abstractmethod
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/peermessages.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/peermessages.py
@@ -27,27 +27,27 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-MOST_MESSAGE_BYTES = 16 << 20
+MAX_MESSAGE_BYTES = 16 << 20
 # The fastest; routes are so much alike that a better one gains little.
 COMPRESSION_LEVEL = 1
 # No number of tokens or version comes near this, and sums of it stay exact.
-MOST_NUMBER = 1 << 53
+MAX_NUMBER = 1 << 53
 # Upstreams that a report of one content names; a peer keeps no more itself.
-MOST_CRASHED = 64
+MAX_CRASHED = 64
 # Permits that are asked for at once at most.
-MOST_PERMITS = 1000
+MAX_PERMITS = 1000
 # Number of a loan that nobody asked for; requests are numbered from 1.
 UNASKED = 0
 
-Count = Annotated[int, Meta(ge=0, le=MOST_NUMBER)]
+Count = Annotated[int, Meta(ge=0, le=MAX_NUMBER)]
 Content = Annotated[bytes, Meta(min_length=CONTENT_BYTES, max_length=CONTENT_BYTES)]
-Lives = Annotated[list[str], Meta(max_length=MOST_CRASHED)]
+Lives = Annotated[list[str], Meta(max_length=MAX_CRASHED)]
 # Seconds since something happened.
-Age = Annotated[float, Meta(ge=0, le=MOST_NUMBER)]
+Age = Annotated[float, Meta(ge=0, le=MAX_NUMBER)]
 # Requests or permits a second.
-Rate = Annotated[float, Meta(ge=0, le=MOST_NUMBER)]
-PermitCount = Annotated[int, Meta(ge=0, le=MOST_PERMITS)]
-Ages = Annotated[dict[str, Age], Meta(max_length=MOST_CRASHED)]
+Rate = Annotated[float, Meta(ge=0, le=MAX_NUMBER)]
+PermitCount = Annotated[int, Meta(ge=0, le=MAX_PERMITS)]
+Ages = Annotated[dict[str, Age], Meta(max_length=MAX_CRASHED)]
 
 
 @dataclass(frozen=True, slots=True)
@@ -152,7 +152,7 @@
     @classmethod
     def pack(cls, news: Iterable[Evacuation]) -> DomainEvacuations:
         """Return the message for some news."""
-        return cls([(one.domain, one.version, one.emptied) for one in news])
+        return cls([(one.domain, one.version, one.evacuated) for one in news])
 
     def unpack(self) -> list[Evacuation]:
         """Return the news."""
@@ -177,7 +177,10 @@
             [
                 (
                     one.content,
-                    {life: one.age(life) for life in sorted(one.crashed)},
+                    {
+                        incarnation: one.age(incarnation)
+                        for incarnation in sorted(one.crashed)
+                    },
                     sorted(one.cleared),
                     one.trials,
                 )
@@ -363,7 +366,7 @@
     """Reads messages from a stream of bytes."""
 
     def __init__(self) -> None:
-        self._unpacker = msgpack.Unpacker(max_buffer_size=MOST_MESSAGE_BYTES)
+        self._unpacker = msgpack.Unpacker(max_buffer_size=MAX_MESSAGE_BYTES)
 
     def feed(self, data: bytes) -> list[PeerMessage]:
         """Return the messages that are whole now.
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/peernews.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/peernews.py
@@ -23,8 +23,8 @@
 FROM_STORE = "store"
 # Contents that are told on a new link, so that a start does not fill links. Later
 # reports of the others make up for what is not told.
-MOST_BLOCKED_TOLD = 64
-MOST_SUSPECTED_TOLD = 64
+MAX_BLOCKED_TOLD = 64
+MAX_SUSPECTED_TOLD = 64
 
 
 class PeerNews(PeerListener):
@@ -75,14 +75,14 @@
         """Take in a configuration that a peer has."""
         self._configuration.offer(value)
 
-    def hear_load(
+    def receive_load(
         self, instance: str, upstream: str, tokens: int, parts: list[str]
     ) -> None:
         """Take in what a peer has waiting at an upstream."""
         known = self._directory.find(upstream)
         if known is not None:
-            known.prompts.hear(instance, tokens)
-            known.prompts.note_read(parts)
+            known.prompts.receive(instance, tokens)
+            known.prompts.note_prefilled(parts)
 
     def forget_loads(self, instance: str) -> None:
         """Take in that a peer cannot be heard."""
@@ -92,9 +92,9 @@
         """Return what is known here of upstreams that leave."""
         return self._directory.departures()
 
-    def hear_departure(self, departure: Departure) -> None:
+    def receive_departure(self, departure: Departure) -> None:
         """Take in that a peer knows of an upstream's leaving."""
-        if self._directory.hear(departure):
+        if self._directory.receive(departure):
             log_event(
                 "upstream-leaves",
                 upstream=departure.name,
@@ -106,19 +106,19 @@
         """Return what is known here of emptied domains."""
         return self._directory.evacuations.news()
 
-    def hear_evacuation(self, news: Evacuation) -> None:
+    def receive_evacuation(self, news: Evacuation) -> None:
         """Take in a peer's news of an emptied domain."""
-        self._evacuations.hear(news)
+        self._evacuations.receive(news)
 
     def crash_reports(self) -> list[CrashReport]:
         """Return what is known here of contents under which upstreams crashed."""
         history = self._crashes.history
-        blocked = history.blocked()[:MOST_BLOCKED_TOLD]
-        return blocked + history.suspected()[:MOST_SUSPECTED_TOLD]
+        blocked = history.blocked()[:MAX_BLOCKED_TOLD]
+        return blocked + history.suspected()[:MAX_SUSPECTED_TOLD]
 
-    def hear_crash(self, report: CrashReport) -> None:
+    def receive_crash(self, report: CrashReport) -> None:
         """Take in what a peer knows of such a content."""
-        self._crashes.hear(report, FROM_PEER)
+        self._crashes.receive(report, FROM_PEER)
 
     def lend(self, workspace: str, tokens: int, ahead: int) -> int:
         """Hand tokens to a peer."""
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/peers.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/peers.py
@@ -13,7 +13,7 @@
 from pondquay_daemon.relay.errors import MalformedValueError
 from pondquay_daemon.relay.linkplans import (
     HEARTBEAT_SECONDS,
-    MOST_FAR_LINKS,
+    MAX_FAR_LINKS,
     LinkPlan,
 )
 from pondquay_daemon.relay.loadnews import LoadNews
@@ -59,7 +59,7 @@
 CONNECT_SECONDS = 0.5
 # Departures that are told on a new link, the newest. Those before are long gone, and
 # the platform's list has lost them for everyone.
-MOST_TOLD = 256
+MAX_TOLD = 256
 
 
 class PeerMesh(Task, Lender, LinkOwner):
@@ -91,7 +91,7 @@
         self._plan = LinkPlan(self.clock, instance, member.domain)
         self._demands = LoanDemands(self.clock)
         self._load_news = LoadNews(
-            self.clock, self._send_all, lambda: len(self._links) > MOST_FAR_LINKS
+            self.clock, self._send_all, lambda: len(self._links) > MAX_FAR_LINKS
         )
         self._fetch = ConfigurationFetch(self.clock, listener, self._all)
         self._topics: list[PeerTopic] = []
@@ -186,7 +186,7 @@
 
     def greet(self, link: PeerLink) -> None:
         """Send the first message on a link."""
-        link.heard = self.clock.seconds()
+        link.last_seen_at = self.clock.seconds()
         self._all.add(link)
         members = {
             name: (str(one.address), one.domain) for name, one in self._members.items()
@@ -194,7 +194,7 @@
         link.send(Hello(self._instance, members))
         link.send(Understood(sorted(MESSAGE_TYPES)))
         link.send(Heartbeat(self._listener.configuration_version()))
-        link.send(UpstreamDepartures.pack(self._listener.departures()[-MOST_TOLD:]))
+        link.send(UpstreamDepartures.pack(self._listener.departures()[-MAX_TOLD:]))
         if evacuations := self._listener.evacuations():
             link.send(DomainEvacuations.pack(evacuations))
         if crashes := self._listener.crash_reports():
@@ -219,7 +219,7 @@
 
     def receive(self, link: PeerLink, message: PeerMessage) -> None:
         """Act on a message."""
-        link.heard = self.clock.seconds()
+        link.last_seen_at = self.clock.seconds()
         if isinstance(message, Hello):
             self._receive_hello(link, message)
         elif isinstance(message, Understood):
@@ -240,25 +240,25 @@
     def _receive_news(self, link: PeerLink, message: PeerMessage) -> None:
         if isinstance(message, UpstreamDepartures):
             for departure in message.unpack():
-                self._listener.hear_departure(departure)
+                self._listener.receive_departure(departure)
         elif isinstance(message, DomainEvacuations):
             for news in message.unpack():
-                self._listener.hear_evacuation(news)
+                self._listener.receive_evacuation(news)
         elif isinstance(message, UpstreamCrashes):
             for report in message.unpack():
-                self._listener.hear_crash(report)
+                self._listener.receive_crash(report)
         elif isinstance(message, UndatedCrashes):
             self._receive_undated(link, message)
         elif isinstance(message, UpstreamLoads):
             for upstream, tokens, parts in message.loads:
-                self._listener.hear_load(link.instance, upstream, tokens, parts)
+                self._listener.receive_load(link.instance, upstream, tokens, parts)
 
     def _receive_undated(self, link: PeerLink, message: UndatedCrashes) -> None:
         """Take crashes without ages, unless the peer says them with ages as well."""
         if link.reads(UpstreamCrashes):
             return
         for report in message.unpack():
-            self._listener.hear_crash(report)
+            self._listener.receive_crash(report)
 
     def _receive_tokens(self, link: PeerLink, message: LoanRequest | Loan) -> None:
         if isinstance(message, Loan):
@@ -337,7 +337,7 @@
     def _drop_silent(self) -> None:
         now = self.clock.seconds()
         for link in list(self._all):
-            if now - link.heard > SILENT_SECONDS:
+            if now - link.last_seen_at > SILENT_SECONDS:
                 link.drop()
 
     def _open_links(self) -> None:
@@ -345,7 +345,7 @@
             self._members,
             self._links,
             self._listener.partners(),
-            {one for topic in self._topics for one in topic.list_wished()},
+            {one for topic in self._topics for one in topic.list_requested()},
         )
         if not self._links:
             addresses += self._seeds
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/peertopics.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/peertopics.py
@@ -34,5 +34,5 @@
         """Learn that a peer can no longer be reached by a link."""
 
     @abstractmethod
-    def list_wished(self) -> Collection[str]:
+    def list_requested(self) -> Collection[str]:
         """Return the instances to which there should be links."""
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/permitlinks.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/permitlinks.py
@@ -29,18 +29,18 @@
     from pondquay_daemon.relay.peers import PeerMesh
 
 # After which an answer is no longer waited for, in seconds: permits would have ended.
-ANSWER_SECONDS = 1.0
+RESPONSE_SECONDS = 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class PermitAsk:
     """A request that a peer has not answered yet.
 
-    :param answer: fires with the answer, ``None`` if there will be none
+    :param response: fires with the answer, ``None`` if there will be none
     """
 
     link: PeerLink
-    answer: Deferred[PermitGrant | None]
+    response: Deferred[PermitGrant | None]
 
 
 class PermitListener(ABC):
@@ -51,7 +51,7 @@
         """Return the upstreams that name a limit."""
 
     @abstractmethod
-    def hear(self, name: str, rate: float | None, age: float) -> None:
+    def receive(self, name: str, rate: float | None, age: float) -> None:
         """Take in what a peer knows of an upstream's limit.
 
         :param rate: requests a second, ``None`` for no limit
@@ -91,7 +91,7 @@
         self._mesh.tell_all(self._pack(upstreams))
 
     async def ask(
-        self, peer: str, asker: str, upstream: KnownUpstream, wanted: int, hops: int
+        self, peer: str, requester: str, upstream: KnownUpstream, wanted: int, hops: int
     ) -> PermitGrant | None:
         """Ask a peer for permits; ``None`` if it does not answer."""
         link = self._mesh.find_link(peer)
@@ -104,7 +104,7 @@
         link.send(
             PermitRequest(
                 number,
-                asker,
+                requester,
                 upstream.name,
                 wanted,
                 hops,
@@ -113,7 +113,7 @@
             )
         )
         try:
-            return await wait_at_most(ask.answer, ANSWER_SECONDS, self._clock, None)
+            return await wait_at_most(ask.response, RESPONSE_SECONDS, self._clock, None)
         finally:
             self._asks.pop(number, None)
 
@@ -130,23 +130,23 @@
         """Act on a message."""
         if isinstance(message, UpstreamLimits):
             for upstream, rate, age in message.limits:
-                self._listener.hear(upstream, rate, age)
+                self._listener.receive(upstream, rate, age)
         elif isinstance(message, PermitRequest):
             self._listener.serve(link, message)
         elif isinstance(message, PermitGrant):
             ask = self._asks.pop(message.number, None)
             if ask is not None:
-                ask.answer.callback(message)
+                ask.response.callback(message)
 
     def lose(self, link: PeerLink) -> None:
         """Learn that a peer can no longer be reached."""
-        self._peers.note_lost(link.instance)
+        self._peers.note_disconnected(link.instance)
         for number in [key for key, ask in self._asks.items() if ask.link is link]:
-            self._asks.pop(number).answer.callback(None)
+            self._asks.pop(number).response.callback(None)
 
-    def list_wished(self) -> Collection[str]:
+    def list_requested(self) -> Collection[str]:
         """Return the instances that have to be asked and are not linked."""
-        return self._peers.list_wished()
+        return self._peers.list_requested()
 
     def _pack(self, upstreams: Collection[KnownUpstream]) -> UpstreamLimits:
         now = self._clock.seconds()
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/permits.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/permits.py
@@ -10,7 +10,7 @@
 
 from pondquay.routing.ratelimits import PERMIT_SECONDS, RateLimit
 from pondquay_daemon.logs import log_event
-from pondquay_daemon.relay.peermessages import MOST_PERMITS, PermitGrant
+from pondquay_daemon.relay.peermessages import MAX_PERMITS, PermitGrant
 from pondquay_daemon.relay.permitlinks import PermitListener
 from pondquay_daemon.tasks import spawn, wait_at_most
 
@@ -31,11 +31,11 @@
 # between failure domains.
 WAIT_SECONDS = 0.05
 # After which an instance asks again that had nobody to ask, in seconds.
-NOBODY_SECONDS = 0.25
+NO_ISSUER_RETRY_SECONDS = 0.25
 # Instances that pass a request on: the one that speaks for a domain.
-MOST_HOPS = 1
+MAX_HOPS = 1
 # Where a limit is known from, for the logs.
-FROM_ANSWER = "answer"
+FROM_RESPONSE = "answer"
 FROM_PEER = "peer"
 
 
@@ -51,7 +51,7 @@
     overdue_at: float
 
 
-class PermitDesk(PermitListener):
+class PermitBroker(PermitListener):
     """Gets permits for the requests of one instance, and issues or passes on others'.
 
     :param instance: its name
@@ -75,11 +75,11 @@
         self._refills: dict[str, Refill] = {}
         links.connect(self)
 
-    def may_give(self, upstream: KnownUpstream) -> bool:
+    def can_supply(self, upstream: KnownUpstream) -> bool:
         """Tell whether a request may be sent to an upstream, or it is worth asking."""
         if not upstream.is_limited():
             return True
-        return upstream.permits.may_give(self._clock.seconds())
+        return upstream.permits.can_supply(self._clock.seconds())
 
     async def take(self, upstream: KnownUpstream, until: float) -> bool:
         """Use a permit for one request; tell whether there was one, or none is needed.
@@ -93,10 +93,10 @@
             return True
         now = self._clock.seconds()
         stock = upstream.permits
-        stock.note_wish(now)
+        stock.note_demand(now)
         if stock.take(now):
             return True
-        if now < stock.ask_at:
+        if now < stock.next_request_at:
             return False
         refill = self._refills.get(upstream.name)
         if refill is None:
@@ -117,7 +117,7 @@
         stocks = [one.permits for one in upstreams if one.is_limited()]
         if not stocks:
             return None
-        first = min(stocks, key=lambda one: one.ask_at)
+        first = min(stocks, key=lambda one: one.next_request_at)
         return first.plan_return(self._clock.seconds())
 
     def list_limited(self) -> list[KnownUpstream]:
@@ -140,14 +140,14 @@
         before = upstream.limit.rate
         limit = RateLimit(rate, self._clock.seconds())
         if self._directory.note_limit(upstream, limit, asked_at, reached_by):
-            _log_limit(upstream, before, FROM_ANSWER)
+            _log_limit(upstream, before, FROM_RESPONSE)
             self._links.announce(upstream)
 
-    def hear(self, name: str, rate: float | None, age: float) -> None:
+    def receive(self, name: str, rate: float | None, age: float) -> None:
         """Take in what a peer knows of an upstream's limit."""
         upstream = self._directory.find(name)
         if upstream is not None:
-            self._hear(upstream, rate, age)
+            self._receive(upstream, rate, age)
 
     def serve(self, link: PeerLink, request: PermitRequest) -> None:
         """Answer a peer's request, by own permits or by those of the issuer."""
@@ -155,7 +155,7 @@
         if upstream is None:
             link.send(_grant_nothing(request.number))
             return
-        self._hear(upstream, request.rate, request.age)
+        self._receive(upstream, request.rate, request.age)
         spawn(self._serve(link, request, upstream), "PermitDesk")
 
     async def _serve(
@@ -163,7 +163,7 @@
     ) -> None:
         grant = await self._obtain(request.asker, upstream, request.count, request.hops)
         limit = upstream.limit
-        is_known = isfinite(limit.said_at)
+        is_known = isfinite(limit.reported_at)
         link.send(
             PermitGrant(
                 request.number,
@@ -178,7 +178,7 @@
     async def _refill(self, upstream: KnownUpstream, refill: Refill) -> None:
         stock = upstream.permits
         asked_at = self._clock.seconds()
-        wanted = min(MOST_PERMITS, stock.count_wanted())
+        wanted = min(MAX_PERMITS, stock.count_wanted())
         try:
             grant = await self._obtain(self._instance, upstream, wanted, 0)
             now = self._clock.seconds()
@@ -191,7 +191,7 @@
             refill.done.callback(None)
 
     async def _obtain(
-        self, asker: str, upstream: KnownUpstream, wanted: int, hops: int
+        self, requester: str, upstream: KnownUpstream, wanted: int, hops: int
     ) -> PermitGrant:
         """Return permits for an instance, issued here or by the one that does."""
         rate = upstream.limit.rate
@@ -200,18 +200,18 @@
         source = self._choose_source(upstream)
         if source == self._instance:
             now = self._clock.seconds()
-            issued = upstream.issuer.issue(asker, wanted, rate, now)
+            issued = upstream.issuer.issue(requester, wanted, rate, now)
             self._metrics.permits.labels("issued").inc(issued.count)
             return PermitGrant(
                 0, issued.count, PERMIT_SECONDS, issued.pause, rate, None
             )
-        if source is None or hops > MOST_HOPS:
+        if source is None or hops > MAX_HOPS:
             return _grant_nothing(0)
-        grant = await self._links.ask(source, asker, upstream, wanted, hops + 1)
+        grant = await self._links.ask(source, requester, upstream, wanted, hops + 1)
         if grant is None:
             return _grant_nothing(0)
         if grant.age is not None:
-            self._hear(upstream, grant.rate, grant.age)
+            self._receive(upstream, grant.rate, grant.age)
         return grant
 
     def _choose_source(self, upstream: KnownUpstream) -> str | None:
@@ -223,14 +223,14 @@
             stock.source = source
         return source
 
-    def _hear(self, upstream: KnownUpstream, rate: float | None, age: float) -> None:
+    def _receive(self, upstream: KnownUpstream, rate: float | None, age: float) -> None:
         before = upstream.limit.rate
         if upstream.note_limit(RateLimit(rate, self._clock.seconds() - age)):
             _log_limit(upstream, before, FROM_PEER)
 
 
 def _grant_nothing(number: int) -> PermitGrant:
-    return PermitGrant(number, 0, 0.0, NOBODY_SECONDS, None, None)
+    return PermitGrant(number, 0, 0.0, NO_ISSUER_RETRY_SECONDS, None, None)
 
 
 def _log_limit(upstream: KnownUpstream, before: float | None, source: str) -> None:
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/placement.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/placement.py
@@ -6,9 +6,9 @@
 from typing import TYPE_CHECKING
 
 from pondquay.routing.copies import (
-    LEAST_COPIED_TOKENS,
+    MIN_COPIED_TOKENS,
     choose_source,
-    count_lacking,
+    count_missing_tokens,
 )
 from pondquay.routing.rendezvous import choose_by_prompt, choose_nearest
 
@@ -22,7 +22,7 @@
     from pondquay.routing.directory import UpstreamDirectory
     from pondquay.routing.knownupstreams import KnownUpstream
     from pondquay.routing.prompts import PromptPart
-    from pondquay_daemon.relay.permits import PermitDesk
+    from pondquay_daemon.relay.permits import PermitBroker
 
 
 @dataclass(frozen=True, slots=True)
@@ -46,7 +46,7 @@
         domain: str,
         policy: RelayPolicy,
         cold_shares: ColdShares,
-        permits: PermitDesk,
+        permits: PermitBroker,
     ) -> None:
         self._permits = permits
         self._cold_shares = cold_shares
@@ -71,7 +71,7 @@
         candidates = self._list_usable(service, tried, now)
         if not candidates:
             return None
-        sound = [one for one in candidates if self._is_sound(one, now)]
+        sound = [one for one in candidates if self._is_healthy(one, now)]
         elsewhere = [one for one in sound if one.record.domain not in unreached]
         chosen = self._choose_of(elsewhere or sound or candidates, prefix, now)
         chosen.sent_at = now
@@ -96,7 +96,7 @@
         if candidates and all(one.in_backoff(now) for one in candidates):
             first = min(one.backoff_until for one in candidates)
             return NoUpstream("all upstreams asked to back off", first - now)
-        if self._directory.evacuations.emptied:
+        if self._directory.evacuations.evacuated:
             return NoUpstream("no upstream in the domains that are not emptied")
         left = [
             one
@@ -144,13 +144,13 @@
         """Return an upstream from which another may copy what it has not read."""
         if not self._policy.copy_parts:
             return None
-        if count_lacking(target, prefix) < LEAST_COPIED_TOKENS:
+        if count_missing_tokens(target, prefix) < MIN_COPIED_TOKENS:
             return None
         now = self._clock.seconds()
         sound = [
             one
             for one in self._directory.candidates(target.record.service)
-            if self._is_sound(one, now) and one.vanished is None
+            if self._is_healthy(one, now) and one.missing_since is None
         ]
         return choose_source(target, sound, prefix)
 
@@ -158,11 +158,11 @@
         """Tell whether a sound upstream is left that was not tried."""
         now = self._clock.seconds()
         return any(
-            self._is_sound(one, now) and self._permits.may_give(one)
+            self._is_healthy(one, now) and self._permits.can_supply(one)
             for one in self._list_usable(service, tried, now)
         )
 
-    def _is_sound(self, upstream: KnownUpstream, now: float) -> bool:
+    def _is_healthy(self, upstream: KnownUpstream, now: float) -> bool:
         if self._policy.circuits and not upstream.circuit.allows(now):
             return False
-        return not self._directory.reach.is_dark(upstream.record.domain, now)
+        return not self._directory.reach.is_unreachable(upstream.record.domain, now)
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/policyfile.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/policyfile.py
@@ -48,7 +48,7 @@
     usual = {one.name: getattr(DEFAULT_POLICY, one.name) for one in fields(RelayPolicy)}
     values: dict[str, Any] = {}
     for key, written in section.values.items():
-        place = section.place_of(key)
+        place = section.describe_location(key)
         if key not in usual:
             findings.add(place, key, f"is not known{suggest_name(key, usual)}")
             continue
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/readiness.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/readiness.py
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from pondquay_daemon.relay.ingress import CallerAnswer
+    from pondquay_daemon.relay.ingress import CallerResponse
     from pondquay_daemon.relay.messages import RequestHead
 
 OK = 200
@@ -31,7 +31,7 @@
         """Return what a balancer may send."""
         return CallerLimits(body_bytes=0)
 
-    def handle(self, head: RequestHead, body: bytes, answer: CallerAnswer) -> None:
+    def handle(self, head: RequestHead, body: bytes, response: CallerResponse) -> None:
         """Answer one question."""
         ready = head.target == self._path and self._is_ready()
-        answer.send_whole(OK if ready else UNAVAILABLE, [], b"")
+        response.send_whole(OK if ready else UNAVAILABLE, [], b"")
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/readings.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/readings.py
@@ -11,10 +11,10 @@
 
     from pondquay.routing.knownupstreams import KnownUpstream
     from pondquay.routing.prompts import PromptPart
-    from pondquay_daemon.relay.parts import RelayParts
+    from pondquay_daemon.relay.parts import RelayComponents
 
 
-class PromptReading:
+class Prefill:
     """Counts a request at an upstream, and its prompt until that has been read.
 
     :param prefix: the parts of its prompt
@@ -23,23 +23,23 @@
 
     def __init__(
         self,
-        parts: RelayParts,
+        components: RelayComponents,
         upstream: KnownUpstream,
         prefix: tuple[PromptPart, ...],
         source: KnownUpstream | None,
     ) -> None:
-        self._parts = parts
+        self._components = components
         self._upstream = upstream
         self._prefix = prefix
-        self._unread = upstream.prompts.count_unread(prefix)
+        self._unread = upstream.prompts.count_uncached(prefix)
         if source is not None:
-            self._unread = min(self._unread, source.prompts.count_unread(prefix))
+            self._unread = min(self._unread, source.prompts.count_uncached(prefix))
 
-    def __enter__(self) -> PromptReading:
+    def __enter__(self) -> Prefill:
         """Begin to count."""
         self._upstream.running += 1
         self._upstream.prompts.own += self._unread
-        self._parts.announce_load(self._upstream, ())
+        self._components.announce_load(self._upstream, ())
         return self
 
     def __exit__(
@@ -52,21 +52,21 @@
         self._upstream.running -= 1
         self._end()
 
-    def note_heard(self) -> None:
+    def note_response(self) -> None:
         """Learn that something came from the upstream, if only that it is full."""
-        self._upstream.heard = self._parts.clock.seconds()
-        self._parts.directory.reach.note_heard(self._upstream.record.domain)
+        self._upstream.last_seen_at = self._components.clock.seconds()
+        self._components.directory.reach.note_response(self._upstream.record.domain)
 
-    def note_read(self) -> None:
+    def note_prefilled(self) -> None:
         """Learn that the prompt has been read.
 
         What was turned away was not: taken for read, it would draw the next prompts
         with the same parts to an upstream that has to read them first.
         """
         if self._unread:
-            new = self._upstream.prompts.note_read(list_shared(self._prefix))
+            new = self._upstream.prompts.note_prefilled(list_shared(self._prefix))
             if new:
-                self._parts.announce_load(self._upstream, new)
+                self._components.announce_load(self._upstream, new)
         self._end()
 
     def _end(self) -> None:
@@ -75,4 +75,4 @@
             return
         self._upstream.prompts.own -= self._unread
         self._unread = 0
-        self._parts.announce_load(self._upstream, ())
+        self._components.announce_load(self._upstream, ())
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/relay.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/relay.py
@@ -12,7 +12,7 @@
 from pondquay.routing.coldshares import ColdShares
 from pondquay.routing.directory import UpstreamDirectory
 from pondquay.routing.issuers import IssuerChoice, LinkedPeers
-from pondquay.routing.listwatch import VANISHED_SECONDS
+from pondquay.routing.listwatch import MISSING_GRACE_SECONDS
 from pondquay.routing.retryshares import RetryShare
 from pondquay_daemon.logs import Level, log_event
 from pondquay_daemon.relay.accounts import AccountBook
@@ -33,11 +33,11 @@
 from pondquay_daemon.relay.member import Member
 from pondquay_daemon.relay.members import TABLE as MEMBERS
 from pondquay_daemon.relay.members import MemberList
-from pondquay_daemon.relay.parts import RelayParts
+from pondquay_daemon.relay.parts import RelayComponents
 from pondquay_daemon.relay.peernews import FROM_STORE, PeerNews
 from pondquay_daemon.relay.peers import PeerMesh
 from pondquay_daemon.relay.permitlinks import PermitLinks
-from pondquay_daemon.relay.permits import PermitDesk
+from pondquay_daemon.relay.permits import PermitBroker
 from pondquay_daemon.relay.placement import Placement
 from pondquay_daemon.relay.readiness import ReadinessHandler
 from pondquay_daemon.relay.reports import ReportHandler
@@ -52,7 +52,7 @@
     from pondquay.routes.table import RouteTable
     from pondquay.routing.knownupstreams import KnownUpstream
     from pondquay_daemon.relay.border import Border
-    from pondquay_daemon.relay.ingress import CallerAnswer
+    from pondquay_daemon.relay.ingress import CallerResponse
     from pondquay_daemon.relay.messages import RequestHead
     from pondquay_daemon.relay.metrics import RelayMetrics
     from pondquay_daemon.relay.settings import RelaySettings
@@ -63,7 +63,7 @@
 # After the balancer is told, connections may still come for this long.
 BALANCER_SECONDS = 2.6
 # Kept free at the end of a planned stop, to hand allotments back.
-HAND_BACK_SECONDS = 0.5
+RETURN_UNSPENT_SECONDS = 0.5
 STOP_STEP_SECONDS = 0.05
 # Seconds between two polls. A write that meets a newer row learns of it anyway. In a
 # large fleet an instance writes the rows of a few workspaces; of the others' it only
@@ -123,7 +123,7 @@
             settings.policy,
         )
         linked = LinkedPeers(reactor.seconds)
-        permits = PermitDesk(
+        permits = PermitBroker(
             reactor,
             settings.instance,
             directory,
@@ -136,7 +136,7 @@
             PermitLinks(reactor, self._peers, linked),
             metrics,
         )
-        self._parts = RelayParts(
+        self._components = RelayComponents(
             reactor,
             border,
             self._pool,
@@ -181,7 +181,7 @@
             border,
             directory,
             self._peers.announce_departure,
-            self._parts.crashes.note_gone,
+            self._components.crashes.note_gone,
         )
         self._evacuations = EvacuationView(
             border,
@@ -192,8 +192,8 @@
         self._crash_rows = CrashRows(
             reactor,
             self._store,
-            lambda report: self._parts.crashes.hear(report, FROM_STORE),
-            lambda content: self._parts.crashes.history.find(content),
+            lambda report: self._components.crashes.receive(report, FROM_STORE),
+            lambda content: self._components.crashes.history.find(content),
         )
         names = border.store_names
         self._feed = TableFeed(
@@ -230,7 +230,7 @@
             self._configuration,
             self._accounts,
             self._evacuations,
-            self._parts.crashes,
+            self._components.crashes,
         )
         self._callers = IngressServer(reactor, self)
         self._probes = IngressServer(
@@ -287,12 +287,12 @@
             "store": {"reachable": self._feed.reachable, "age": self._feed.age()},
             "peers": self._peers.peers,
             "connections": len(self._callers.connections),
-            "emptied": self._parts.directory.evacuations.describe(),
+            "emptied": self._components.directory.evacuations.describe(),
             "upstreams": self._upstreams.describe(),
             "malformed": {
                 row: error for row, (_, error) in self._upstreams.malformed.items()
             },
-            "crashes": self._parts.crashes.describe(),
+            "crashes": self._components.crashes.describe(),
             "accounts": self._accounts.describe(),
         }
 
@@ -301,15 +301,15 @@
         metrics.version.set(self._configuration.version)
         metrics.store_up.set(1 if self._feed.reachable else 0)
         metrics.peers.set(len(self._peers.peers))
-        metrics.upstreams.set(self._parts.directory.count_present())
-        metrics.backoff.set(self._parts.directory.count_backing_off())
-        metrics.limited.set(self._parts.directory.count_limited())
-        evacuations = self._parts.directory.evacuations
-        metrics.emptied.set(len(evacuations.emptied))
+        metrics.upstreams.set(self._components.directory.count_present())
+        metrics.backoff.set(self._components.directory.count_backing_off())
+        metrics.limited.set(self._components.directory.count_limited())
+        evacuations = self._components.directory.evacuations
+        metrics.evacuated.set(len(evacuations.evacuated))
         metrics.emptied_version.set(evacuations.version)
         metrics.unspent.set(self._accounts.unspent())
         metrics.malformed.set(len(self._upstreams.malformed))
-        metrics.blocked.set(len(self._parts.crashes.history.blocked()))
+        metrics.blocked.set(len(self._components.crashes.history.blocked()))
         return metrics.render()
 
     async def stop(self) -> None:
@@ -320,13 +320,13 @@
         log_event("stopping", open=len(self._callers.connections))
         await sleep(BALANCER_SECONDS, self._reactor)
         self._refusing = True
-        until = began + self._settings.bounds.stop - HAND_BACK_SECONDS
+        until = began + self._settings.bounds.stop - RETURN_UNSPENT_SECONDS
         while self._reactor.seconds() < until:
             self._callers.close_idle()
             if not self._callers.connections:
                 break
             await sleep(STOP_STEP_SECONDS, self._reactor)
-        await self._accounts.hand_back()
+        await self._accounts.return_unspent()
         if self._feed.reachable:
             await self._members.leave()
         log_event("stopped", open=len(self._callers.connections))
@@ -336,17 +336,17 @@
         table = self._configuration.table
         return CallerLimits() if table is None else table.configuration.limits
 
-    def handle(self, head: RequestHead, body: bytes, answer: CallerAnswer) -> None:
+    def handle(self, head: RequestHead, body: bytes, response: CallerResponse) -> None:
         """Begin to serve a request."""
         table = self._configuration.table
         if self._refusing:
             # What begins now may outlast this process.
             send_refusal(
-                self._border, answer, "", Refusal(UNAVAILABLE, "stopping", ELSEWHERE)
+                self._border, response, "", Refusal(UNAVAILABLE, "stopping", ELSEWHERE)
             )
             return
         admitted = admit_request(
-            head, table, self._border, self._parts.random, current=self._current()
+            head, table, self._border, self._components.random, current=self._current()
         )
         if isinstance(admitted, Refusal):
             log_event(
@@ -359,10 +359,10 @@
                 age=self._feed.age(),
             )
             self._metrics.requests.labels(str(admitted.status)).inc()
-            send_refusal(self._border, answer, "", admitted)
+            send_refusal(self._border, response, "", admitted)
             return
         service = self._configuration.find_service(admitted.service)
-        run = RequestRun(self._parts, admitted, service, head, body, answer)
+        run = RequestRun(self._components, admitted, service, head, body, response)
         spawn(run.run(), "RequestRun")
 
     def _pause_of_allotments(self) -> float:
@@ -391,5 +391,5 @@
 
     :param departure: seconds after which an upstream that leaves gets no new work
     """
-    spare = departure - VANISHED_SECONDS - SLOW_POLL_SECONDS
+    spare = departure - MISSING_GRACE_SECONDS - SLOW_POLL_SECONDS
     return max(UPSTREAMS_PAUSE_PART * departure, spare)
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/reports.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/reports.py
@@ -12,7 +12,7 @@
     from collections.abc import Callable, Mapping
     from typing import Any
 
-    from pondquay_daemon.relay.ingress import CallerAnswer
+    from pondquay_daemon.relay.ingress import CallerResponse
     from pondquay_daemon.relay.messages import RequestHead
 
 OK = 200
@@ -42,14 +42,14 @@
         """Return what a question may be like."""
         return CallerLimits(body_bytes=0)
 
-    def handle(self, head: RequestHead, body: bytes, answer: CallerAnswer) -> None:
+    def handle(self, head: RequestHead, body: bytes, response: CallerResponse) -> None:
         """Answer one question."""
         if head.path == METRICS_PATH:
             headers = [(b"Content-Type", METRICS_TYPE)]
-            answer.send_whole(OK, headers, self._render_metrics())
+            response.send_whole(OK, headers, self._render_metrics())
         elif head.path == DUMP_PATH:
             text = json.dumps(self._describe(), indent=2)
             headers = [(b"Content-Type", JSON_TYPE)]
-            answer.send_whole(OK, headers, text.encode())
+            response.send_whole(OK, headers, text.encode())
         else:
-            answer.send_whole(NOT_FOUND, [], b"try /metrics or /dump\n")
+            response.send_whole(NOT_FOUND, [], b"try /metrics or /dump\n")
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/requests.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/requests.py
@@ -37,18 +37,18 @@
     from pondquay.routing.knownupstreams import KnownUpstream
     from pondquay_daemon.relay.admission import Admission
     from pondquay_daemon.relay.attempts import Outcome
-    from pondquay_daemon.relay.ingress import CallerAnswer
+    from pondquay_daemon.relay.ingress import CallerResponse
     from pondquay_daemon.relay.messages import RequestHead
-    from pondquay_daemon.relay.parts import RelayParts
+    from pondquay_daemon.relay.parts import RelayComponents
 
 SERVER_ERROR = 500
 BAD_GATEWAY = 502
 GATEWAY_TIMEOUT = 504
 # Connections that may fail before a request is refused, unless a sound upstream is
 # left; nothing was sent on them.
-MOST_CONNECT_FAILURES = 3
+MAX_CONNECT_FAILURES = 3
 # How a request ended, where it was not a status.
-NO_ANSWER = "none"
+NO_RESPONSE = "none"
 STREAMED = "stream"
 BROKEN = "broken"
 SERVED = frozenset({STREAMED, "200"})
@@ -59,54 +59,56 @@
 
     def __init__(
         self,
-        parts: RelayParts,
+        components: RelayComponents,
         admission: Admission,
         service: Service | None,
         head: RequestHead,
         body: bytes,
-        answer: CallerAnswer,
+        response: CallerResponse,
     ) -> None:
-        self._parts = parts
-        self._marks = admission.marks
+        self._components = components
+        self._metadata = admission.metadata
         self._route = admission.route
         self._workspace = admission.workspace
-        self._answer = answer
+        self._response = response
         self._stopped = ""
         self._may_have_run = False
         self._outcome = ""
-        self._status = NO_ANSWER
+        self._status = NO_RESPONSE
         self._reservation = Reservation(
-            parts.accounts,
-            admission.marks,
+            components.accounts,
+            admission.metadata,
             admission.route,
             admission.workspace,
             service,
         )
         self._progress: StreamProgress | None = None
         if self._route.streaming:
-            reader = EventReader(last=self._marks.last_event)
+            reader = EventReader(last=self._metadata.last_event)
             self._progress = StreamProgress(reader)
         seconds = self._route.timeout
-        if self._marks.deadline is not None:
-            seconds = min(seconds, self._marks.deadline)
-        self._until = answer.arrived + seconds
+        if self._metadata.deadline is not None:
+            seconds = min(seconds, self._metadata.deadline)
+        self._until = response.arrived + seconds
         shares_prompts = service is not None and service.shares_prompts
-        job = RequestJob(admission, head, body, answer, shares_prompts, self._until)
+        job = RequestJob(admission, head, body, response, shares_prompts, self._until)
         owner = "" if self._workspace is None else self._workspace.name
         self._permit = ContentPermit(
-            parts.crashes, owner, admission.route.host, head, body
+            components.crashes, owner, admission.route.host, head, body
         )
-        self._retries = RetryPermit(parts, admission.service, admission.marks.attempt)
-        self._sender = RequestSender(parts, job, self._progress, self._may_leave)
+        self._retries = RetryPermit(
+            components, admission.service, admission.metadata.attempt
+        )
+        self._sender = RequestSender(components, job, self._progress, self._may_leave)
 
     async def run(self) -> None:
         """Serve the request or refuse it."""
-        self._answer.on_gone = self._note_gone
+        self._response.on_gone = self._note_gone
         timer = self._start_timer()
         try:
             refusal = self._permit.take()
             if refusal is None:
-                refusal = await self._reservation.reserve(self._marks.most_tokens)
+                refusal = await self._reservation.reserve(self._metadata.most_tokens)
             if refusal is None:
                 refusal = await self._try_upstreams()
             if refusal is not None:
@@ -115,7 +117,7 @@
             log_event(
                 "request-failed",
                 Level.ERROR,
-                request=self._marks.attempt,
+                request=self._metadata.attempt,
                 error=repr(error),
                 trace=format_exc(),
             )
@@ -128,8 +130,8 @@
             self._log_end()
 
     def _start_timer(self) -> IDelayedCall:
-        seconds = max(0.0, self._until - self._parts.clock.seconds())
-        return self._parts.clock.callLater(seconds, self._note_timeout)
+        seconds = max(0.0, self._until - self._components.clock.seconds())
+        return self._components.clock.callLater(seconds, self._note_timeout)
 
     def _note_timeout(self) -> None:
         self._stop("timeout")
@@ -145,20 +147,20 @@
 
     def _log_end(self) -> None:
         workspace = "" if self._workspace is None else self._workspace.name
-        answer, progress = self._answer, self._progress
-        seconds = self._parts.clock.seconds() - answer.arrived
-        first = None if answer.began is None else answer.began - answer.arrived
-        self._parts.metrics.note_end(self._status, seconds, first)
+        response, progress = self._response, self._progress
+        seconds = self._components.clock.seconds() - response.arrived
+        first = None if response.began is None else response.began - response.arrived
+        self._components.metrics.note_end(self._status, seconds, first)
         log_event(
             "request-ended",
             Level.INFO if self._status in SERVED else Level.WARNING,
-            request=self._marks.attempt,
+            request=self._metadata.attempt,
             route=self._route.name,
             workspace=workspace,
             upstreams=",".join(self._sender.sent_to),
             outcome=self._outcome,
             tokens=self._reservation.used,
-            bound=self._marks.most_tokens,
+            bound=self._metadata.most_tokens,
             first=-1 if first is None else round(first, 3),
             pause=0 if progress is None else round(progress.longest_pause, 3),
             seconds=round(seconds, 3),
@@ -217,9 +219,9 @@
         A refused one costs a millisecond, one that does not come half a second, so only
         the callers' time bounds them while an upstream is left that should answer.
         """
-        if connect_failures < MOST_CONNECT_FAILURES:
+        if connect_failures < MAX_CONNECT_FAILURES:
             return False
-        leaves_dark = self._parts.policy.leave_dark
+        leaves_dark = self._components.policy.leave_dark
         return not leaves_dark or not self._sender.has_other()
 
     def _may_leave(self) -> bool:
@@ -228,19 +230,19 @@
 
     def _observe(self, upstream: KnownUpstream, outcome: Outcome) -> None:
         """Learn from what came of an attempt."""
-        now = self._parts.clock.seconds()
-        self._parts.metrics.attempts.labels(type(outcome).__name__.lower()).inc()
+        now = self._components.clock.seconds()
+        self._components.metrics.attempts.labels(type(outcome).__name__.lower()).inc()
         if isinstance(outcome, Stopped):
             # Where nobody stopped it, too little time was left to send it.
             self._stopped = self._stopped or "timeout"
         elif isinstance(outcome, NotRun) and outcome.misdirected:
             record = upstream.record
-            self._parts.directory.note_leaving(record.name, record.born)
+            self._components.directory.note_leaving(record.name, record.born)
         elif isinstance(outcome, NotRun):
             # One that turns everything away runs nothing, so it seems the least loaded.
             upstream.circuit.fail(now)
         elif isinstance(outcome, Unsent):
-            self._parts.placement.note_unreached(upstream, refused=outcome.refused)
+            self._components.placement.note_unreached(upstream, refused=outcome.refused)
             if not outcome.refused:
                 self._sender.unreached.add(upstream.record.domain)
         elif isinstance(outcome, Lost):
@@ -255,7 +257,7 @@
             log_event(
                 "attempt-failed",
                 Level.WARNING,
-                request=self._marks.attempt,
+                request=self._metadata.attempt,
                 content=self._permit.content.hex() if lost else "",
                 upstream=upstream.name,
                 outcome=outcome,
@@ -266,9 +268,9 @@
 
         One that answers others is busy and has not ended.
         """
-        if not self._parts.policy.refuse_crashing:
+        if not self._components.policy.refuse_crashing:
             return
-        if lost.broken or now - upstream.heard >= self._route.objective:
+        if lost.broken or now - upstream.last_seen_at >= self._route.objective:
             self._permit.note_broken(upstream, lost.streamed)
 
     def _finish(self, outcome: Outcome, *, last: bool) -> bool:
@@ -277,7 +279,7 @@
             self._reservation.settle_stream(outcome.events)
             self._outcome = "streamed"
             self._status = STREAMED
-            self._answer.finish()
+            self._response.finish()
             return True
         if isinstance(outcome, Answered):
             return self._finish_answered(outcome, last=last)
@@ -298,7 +300,7 @@
         headers = drop_connection_headers(outcome.head.headers)
         self._outcome = f"answered-{status}"
         self._status = str(status)
-        self._answer.send_whole(status, headers, outcome.body)
+        self._response.send_whole(status, headers, outcome.body)
         return True
 
     async def _prepare_again(self, outcome: Outcome) -> Refusal | None:
@@ -311,7 +313,7 @@
             return None
         if isinstance(outcome, Lost):
             await self._permit.wait_for_check()
-        refusal = await self._reservation.reserve(self._marks.output_tokens)
+        refusal = await self._reservation.reserve(self._metadata.output_tokens)
         # A refusal for want of tokens says that nothing ran, which is no longer true.
         return None if refusal is None else self._give_up(refusal.reason)
 
@@ -324,8 +326,10 @@
 
     def _refuse(self, refusal: Refusal) -> None:
         self._outcome = f"refused-{refusal.status}: {refusal.reason}"
-        self._status = BROKEN if self._answer.started else str(refusal.status)
-        if self._answer.started:
-            self._answer.break_off()
+        self._status = BROKEN if self._response.started else str(refusal.status)
+        if self._response.started:
+            self._response.break_off()
             return
-        send_refusal(self._parts.border, self._answer, self._marks.attempt, refusal)
+        send_refusal(
+            self._components.border, self._response, self._metadata.attempt, refusal
+        )
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/reservations.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/reservations.py
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from pondquay.routes.entities import Route, RoutedWorkspace, Service
     from pondquay_daemon.relay.accounts import AccountBook
-    from pondquay_daemon.relay.messages import RequestMarks
+    from pondquay_daemon.relay.messages import RequestMetadata
 
 PAYMENT_REQUIRED = 402
 TOO_MANY_REQUESTS = 429
@@ -28,13 +28,13 @@
     def __init__(
         self,
         accounts: AccountBook,
-        marks: RequestMarks,
+        metadata: RequestMetadata,
         route: Route,
         workspace: RoutedWorkspace | None,
         service: Service | None,
     ) -> None:
         self._accounts = accounts
-        self._marks = marks
+        self._metadata = metadata
         self._route = route
         self._workspace = workspace
         self._service = service
@@ -50,7 +50,7 @@
             return None
         patience = OBTAIN_PART * self._route.objective
         refused = await self._accounts.obtain(
-            self._marks.attempt, workspace.name, tokens, patience
+            self._metadata.attempt, workspace.name, tokens, patience
         )
         if refused is None:
             self._reserved += tokens
@@ -74,5 +74,5 @@
     def settle_stream(self, events: int) -> None:
         """Settle a whole stream by the events that came."""
         event_tokens = 0 if self._service is None else self._service.event_tokens
-        output = min(self._marks.output_tokens, events * event_tokens)
-        self.settle(self._reserved - self._marks.output_tokens + output)
+        output = min(self._metadata.output_tokens, events * event_tokens)
+        self.settle(self._reserved - self._metadata.output_tokens + output)
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/retrying.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/retrying.py
@@ -9,7 +9,7 @@
 if TYPE_CHECKING:
     from collections.abc import Collection
 
-    from pondquay_daemon.relay.parts import RelayParts
+    from pondquay_daemon.relay.parts import RelayComponents
 
 
 class RetryPermit:
@@ -18,15 +18,17 @@
     :param request: the attempt's name, for the logs
     """
 
-    def __init__(self, parts: RelayParts, service: str, request: str) -> None:
-        self._parts = parts
+    def __init__(self, components: RelayComponents, service: str, request: str) -> None:
+        self._components = components
         self._service = service
         self._request = request
         self._held = False
 
     def note_first(self) -> None:
         """Count the request, which raises what may be taken."""
-        self._parts.retries.note_first(self._service, self._parts.clock.seconds())
+        self._components.retries.note_first(
+            self._service, self._components.clock.seconds()
+        )
 
     def take(self) -> bool:
         """Take a further attempt, unless one was taken before."""
@@ -40,15 +42,15 @@
 
         :param tried: upstreams that were tried
         """
-        if not self._parts.placement.has_other(self._service, tried):
+        if not self._components.placement.has_other(self._service, tried):
             return False
         self._held = self._held or self.take()
         return self._held
 
     def _spend(self) -> bool:
-        now = self._parts.clock.seconds()
-        granted = self._parts.retries.spend(self._service, now)
-        self._parts.metrics.retries.labels("yes" if granted else "no").inc()
+        now = self._components.clock.seconds()
+        granted = self._components.retries.spend(self._service, now)
+        self._components.metrics.retries.labels("yes" if granted else "no").inc()
         log_event(
             "retry-decided",
             request=self._request,
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/sending.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/sending.py
@@ -11,7 +11,7 @@
 from pondquay_daemon.relay.heads import drop_connection_headers
 from pondquay_daemon.relay.messages import Dispatch
 from pondquay_daemon.relay.permits import WAIT_SECONDS, describe_rate
-from pondquay_daemon.relay.readings import PromptReading
+from pondquay_daemon.relay.readings import Prefill
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -19,21 +19,21 @@
     from pondquay.routing.knownupstreams import KnownUpstream
     from pondquay_daemon.relay.admission import Admission
     from pondquay_daemon.relay.attempts import Outcome, StreamProgress
-    from pondquay_daemon.relay.ingress import CallerAnswer
+    from pondquay_daemon.relay.ingress import CallerResponse
     from pondquay_daemon.relay.messages import RequestHead
-    from pondquay_daemon.relay.parts import RelayParts
+    from pondquay_daemon.relay.parts import RelayComponents
     from pondquay_daemon.relay.placement import NoUpstream
 
 # An upstream that says nothing for this many objectives is given up, where the request
 # may run again.
 SILENT_OBJECTIVES = 2.0
-LEAST_SILENT_SECONDS = 0.3
+MIN_SILENT_SECONDS = 0.3
 # One that answers other requests meanwhile is given up after this many.
 BUSY_OBJECTIVES = 3.0
-LEAST_REMAINING_SECONDS = 0.01
+MIN_REMAINING_SECONDS = 0.01
 # Routes' priorities are below this, and tenants' come ahead of them.
 ROUTE_PRIORITIES = 3
-MOST_URGENCY = 9
+MAX_URGENCY = 9
 
 
 @dataclass(frozen=True, slots=True)
@@ -47,7 +47,7 @@
     admission: Admission
     head: RequestHead
     body: bytes
-    answer: CallerAnswer
+    response: CallerResponse
     shares_prompts: bool
     until: float
 
@@ -64,14 +64,14 @@
 
     def __init__(
         self,
-        parts: RelayParts,
+        components: RelayComponents,
         job: RequestJob,
         progress: StreamProgress | None,
         may_leave: Callable[[], bool],
     ) -> None:
-        self._parts = parts
+        self._components = components
         self._job = job
-        self._marks = job.admission.marks
+        self._metadata = job.admission.metadata
         self._route = job.admission.route
         self._workspace = job.admission.workspace
         self._progress = progress
@@ -93,30 +93,30 @@
 
     async def place(self) -> KnownUpstream | None:
         """Return the upstream to try next, ``None`` if there is none."""
-        parts, service = self._parts, self._job.admission.service
+        components, service = self._components, self._job.admission.service
         passed_over: set[str] = set()
-        until = parts.clock.seconds() + WAIT_SECONDS
+        until = components.clock.seconds() + WAIT_SECONDS
         while True:
-            chosen = parts.placement.choose(
+            chosen = components.placement.choose(
                 service,
-                self._marks.prefix,
+                self._metadata.prefix,
                 self.tried | passed_over,
                 self.unreached,
             )
             if chosen is None:
                 return None
-            if await parts.permits.take(chosen, until):
+            if await components.permits.take(chosen, until):
                 self._log_chosen(chosen)
                 return chosen
             passed_over.add(chosen.name)
 
     def _log_chosen(self, chosen: KnownUpstream) -> None:
-        parts, service = self._parts, self._job.admission.service
-        age = parts.list_age()
-        gone = chosen.vanished
+        components, service = self._components, self._job.admission.service
+        age = components.list_age()
+        gone = chosen.missing_since
         log_event(
             "upstream-chosen",
-            request=self._marks.attempt,
+            request=self._metadata.attempt,
             upstream=chosen.name,
             service=service,
             running=chosen.running,
@@ -125,45 +125,45 @@
             failures=chosen.circuit.failures,
             tried=len(self.tried),
             list_age=-1 if age is None else round(age, 2),
-            gone=-1 if gone is None else round(parts.clock.seconds() - gone, 2),
-            cold=round(max(0.0, chosen.cold_until - parts.clock.seconds()), 2),
+            gone=-1 if gone is None else round(components.clock.seconds() - gone, 2),
+            cold=round(max(0.0, chosen.cold_until - components.clock.seconds()), 2),
             limit=describe_rate(chosen.limit.rate),
-            emptied=parts.directory.evacuations.describe(),
+            emptied=components.directory.evacuations.describe(),
         )
 
     def has_other(self) -> bool:
         """Tell whether a sound upstream is left that was not tried."""
         service = self._job.admission.service
-        return self._parts.placement.has_other(service, self.tried)
+        return self._components.placement.has_other(service, self.tried)
 
     def explain_no_upstream(self) -> NoUpstream:
         """Return why there is none to try."""
         service = self._job.admission.service
-        return self._parts.placement.explain_none(service, self.tried)
+        return self._components.placement.explain_none(service, self.tried)
 
     async def send(self, upstream: KnownUpstream, *, last: bool) -> Outcome:
         """Send the request and return what came of it.
 
         :param last: no other upstream may be tried after this one
         """
-        job, parts = self._job, self._parts
-        remaining = job.until - parts.clock.seconds()
-        if remaining < LEAST_REMAINING_SECONDS:
+        job, components = self._job, self._components
+        remaining = job.until - components.clock.seconds()
+        if remaining < MIN_REMAINING_SECONDS:
             return Stopped(sent=False)
         source = self._find_source(upstream)
         headers = self._write_headers(upstream, remaining, source)
         self.tried.add(upstream.name)
         self.sent_to.append(upstream.name)
-        reading = PromptReading(parts, upstream, self._marks.prefix, source)
-        attempt = self._make_attempt(upstream, reading)
-        leaves_silent = parts.policy.leave_silent
+        prefill = Prefill(components, upstream, self._metadata.prefix, source)
+        attempt = self._make_attempt(upstream, prefill)
+        leaves_silent = components.policy.leave_silent
         if leaves_silent and self._route.repeatable and not last:
             self._watch_silence(attempt, upstream)
         self._attempt = attempt
         try:
-            with reading:
+            with prefill:
                 return await attempt.run(
-                    parts.pool,
+                    components.pool,
                     upstream.record.address,
                     (job.head.method, job.head.target, headers, job.body),
                 )
@@ -182,38 +182,38 @@
             None if source is None else str(source.record.address),
         )
         headers = drop_connection_headers(self._job.head.headers)
-        return self._parts.border.write_request(headers, dispatch)
+        return self._components.border.write_request(headers, dispatch)
 
-    def _make_attempt(self, upstream: KnownUpstream, reading: PromptReading) -> Attempt:
+    def _make_attempt(self, upstream: KnownUpstream, prefill: Prefill) -> Attempt:
         return Attempt(
-            self._parts.clock,
-            self._parts.border,
-            self._marks.attempt,
-            self._job.answer,
+            self._components.clock,
+            self._components.border,
+            self._metadata.attempt,
+            self._job.response,
             self._progress,
-            UpstreamContact(self._parts, upstream, reading, self._route.pause),
+            UpstreamContact(self._components, upstream, prefill, self._route.pause),
         )
 
     def _find_source(self, upstream: KnownUpstream) -> KnownUpstream | None:
         if not self._job.shares_prompts:
             return None
-        source = self._parts.placement.find_source(upstream, self._marks.prefix)
+        source = self._components.placement.find_source(upstream, self._metadata.prefix)
         if source is not None:
             log_event(
                 "prompt-copied",
-                request=self._marks.attempt,
+                request=self._metadata.attempt,
                 upstream=upstream.name,
                 source=source.name,
             )
         return source
 
     def _urgency(self) -> int:
-        if not self._parts.policy.urgency:
+        if not self._components.policy.urgency:
             return 0
         route = min(self._route.priority, ROUTE_PRIORITIES - 1)
         if self._workspace is None or self._workspace.priority is None:
-            return min(MOST_URGENCY, route)
-        return min(MOST_URGENCY, self._workspace.priority * ROUTE_PRIORITIES + route)
+            return min(MAX_URGENCY, route)
+        return min(MAX_URGENCY, self._workspace.priority * ROUTE_PRIORITIES + route)
 
     def _resume_after(self) -> int | None:
         if self._progress is None or not self._progress.started:
@@ -222,8 +222,8 @@
 
     def _watch_silence(self, attempt: Attempt, upstream: KnownUpstream) -> None:
         patience = SILENT_OBJECTIVES * self._route.objective
-        patience = max(LEAST_SILENT_SECONDS, patience)
-        began = self._parts.clock.seconds()
+        patience = max(MIN_SILENT_SECONDS, patience)
+        began = self._components.clock.seconds()
         attempt.give_up_after(patience, lambda: self._may_leave_silent(upstream, began))
 
     def _may_leave_silent(self, upstream: KnownUpstream, began: float) -> bool:
@@ -232,9 +232,9 @@
         One that answers others is busy, not dead: to leave it would have the prompt
         read once more elsewhere and add to the load. It is left only much later.
         """
-        now = self._parts.clock.seconds()
+        now = self._components.clock.seconds()
         objective = self._route.objective
-        dead = now - upstream.heard >= max(LEAST_SILENT_SECONDS, objective)
+        dead = now - upstream.last_seen_at >= max(MIN_SILENT_SECONDS, objective)
         if not dead and now - began < BUSY_OBJECTIVES * objective:
             return False
         return self._may_leave()
--- a/packages/pondquay-daemon/src/pondquay_daemon/requestattempts.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/requestattempts.py
@@ -21,7 +21,7 @@
     from pondquay_daemon.progress import Progress
     from pondquay_daemon.upstreams import Upstreams, Wish
 
-MOST_ATTEMPTS = 3
+MAX_ATTEMPTS = 3
 
 
 class Attempts:
@@ -67,7 +67,7 @@
     def may_try_again(self, progress: Progress) -> bool:
         """Decide whether another attempt is allowed and affordable."""
         progress.attempts += 1
-        if progress.attempts >= MOST_ATTEMPTS:
+        if progress.attempts >= MAX_ATTEMPTS:
             return False
         if progress.life.outcome() is Outcome.UNKNOWN and not progress.call.repeatable:
             return False
--- a/packages/pondquay-daemon/src/pondquay_daemon/requestindex.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/requestindex.py
@@ -6,13 +6,13 @@
 from typing import TYPE_CHECKING
 
 from pondquay.requests.lifecycle import Outcome
-from pondquay_daemon.calls import Call, KeptAnswer, Refusal, RefusalCode
+from pondquay_daemon.calls import CachedResponse, Call, Refusal, RefusalCode
 
 if TYPE_CHECKING:
     from pondquay.names import InstanceId, RequestName
 
-MOST_KEPT = 2000
-MOST_KEPT_BYTES = 8 << 20
+MAX_KEPT = 2000
+MAX_KEPT_BYTES = 8 << 20
 RETRY_SECONDS = 1
 
 
@@ -24,16 +24,16 @@
     """
 
     def __init__(
-        self, most_kept: int = MOST_KEPT, most_bytes: int = MOST_KEPT_BYTES
+        self, most_kept: int = MAX_KEPT, most_bytes: int = MAX_KEPT_BYTES
     ) -> None:
         self.running: dict[RequestName, Call] = {}
         self._looking: set[RequestName] = set()
-        self._kept: OrderedDict[RequestName, KeptAnswer] = OrderedDict()
+        self._kept: OrderedDict[RequestName, CachedResponse] = OrderedDict()
         self._bytes = 0
         self._most_kept = most_kept
         self._most_bytes = most_bytes
 
-    def find(self, call: Call) -> KeptAnswer | Refusal | None:
+    def find(self, call: Call) -> CachedResponse | Refusal | None:
         """Return the kept answer to a call, or why it cannot be taken.
 
         :returns: ``None`` if the request is new here
@@ -68,7 +68,7 @@
         self._looking.discard(call.request)
 
     def runs_before(
-        self, request: RequestName, me: InstanceId, asker: InstanceId
+        self, request: RequestName, own_id: InstanceId, requester: InstanceId
     ) -> bool:
         """Tell a peer that has the same request whether it should leave it to us.
 
@@ -77,14 +77,14 @@
         """
         if request not in self.running:
             return False
-        return request not in self._looking or me < asker
+        return request not in self._looking or own_id < requester
 
-    def keep(self, call: Call, answer: KeptAnswer) -> None:
+    def keep(self, call: Call, response: CachedResponse) -> None:
         """Keep a whole answer, dropping the oldest ones for it."""
-        if not call.keyed or answer.size > self._most_bytes // 4:
+        if not call.keyed or response.size > self._most_bytes // 4:
             return
-        self._kept[call.request] = answer
-        self._bytes += answer.size
+        self._kept[call.request] = response
+        self._bytes += response.size
         while len(self._kept) > self._most_kept or self._bytes > self._most_bytes:
             _, dropped = self._kept.popitem(last=False)
             self._bytes -= dropped.size
--- a/packages/pondquay-daemon/src/pondquay_daemon/retryafter.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/retryafter.py
@@ -10,7 +10,7 @@
 
 # No upstream wants nothing for longer; a slip of one must not keep it from work for
 # good.
-MOST_BACKOFF_SECONDS = 3600.0
+MAX_BACKOFF_SECONDS = 3600.0
 SECONDS_FORM = re.compile(rb"[0-9]{1,15}(\.[0-9]{0,15})?")
 
 
@@ -27,4 +27,4 @@
     text = value.strip()
     if SECONDS_FORM.fullmatch(text) is None:
         return 0.0
-    return min(float(text), MOST_BACKOFF_SECONDS)
+    return min(float(text), MAX_BACKOFF_SECONDS)
--- a/packages/pondquay-daemon/src/pondquay_daemon/runner.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/runner.py
@@ -6,11 +6,11 @@
 
 from pondquay.requests.lifecycle import begin_request
 from pondquay_daemon.calls import (
+    CachedResponse,
     Call,
     CompletionCall,
     Delivered,
     FrameSink,
-    KeptAnswer,
     PlainCall,
     Refusal,
     RefusalCode,
@@ -83,7 +83,7 @@
         finally:
             self.index.end(call)
 
-    async def call_service(self, call: PlainCall) -> KeptAnswer | Refusal:
+    async def call_service(self, call: PlainCall) -> CachedResponse | Refusal:
         """Make a call to a plain service, or find the answer it already has."""
         known = self._recall(call)
         if known is not None:
@@ -93,13 +93,13 @@
         try:
             progress = Progress(call, begin_request(repeatable=call.repeatable))
             refusal = await self._claims.claim(progress)
-            answer = refusal or await self._service_runs.run(progress, call)
+            response = refusal or await self._service_runs.run(progress, call)
             await self._claims.end(progress)
-            return answer
+            return response
         finally:
             self.index.end(call)
 
-    def _recall(self, call: Call) -> KeptAnswer | Refusal | None:
+    def _recall(self, call: Call) -> CachedResponse | Refusal | None:
         if self.stopping or not self._configuration.loaded:
             return Refusal(
                 RefusalCode.NOT_READY,
@@ -128,7 +128,7 @@
         return result
 
     def _keep_taken_over(
-        self, call: CompletionCall, taken_over: KeptAnswer | Refusal
+        self, call: CompletionCall, taken_over: CachedResponse | Refusal
     ) -> Delivered | Refusal:
         if isinstance(taken_over, Refusal):
             return taken_over
--- a/packages/pondquay-daemon/src/pondquay_daemon/serviceruns.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/serviceruns.py
@@ -8,7 +8,7 @@
 from pondquay.routing.admission import ORDER
 from pondquay.routing.policies import Work
 from pondquay.routing.upstreams import SERVICE
-from pondquay_daemon.calls import KeptAnswer, Refusal
+from pondquay_daemon.calls import CachedResponse, Refusal
 from pondquay_daemon.errors import MayHaveRunError, NotSentError
 from pondquay_daemon.progress import refuse_unfinished
 from pondquay_daemon.upstreams import Wish
@@ -20,7 +20,7 @@
     from pondquay_daemon.progress import Progress, Started
     from pondquay_daemon.requestattempts import Attempts
     from pondquay_daemon.requestindex import RequestIndex
-    from pondquay_daemon.services import ServiceAnswer, Services
+    from pondquay_daemon.services import ServiceResponse, Services
 
 
 class ServiceRuns:
@@ -40,7 +40,9 @@
         self._index = index
         self._metrics = metrics
 
-    async def run(self, progress: Progress, call: PlainCall) -> KeptAnswer | Refusal:
+    async def run(
+        self, progress: Progress, call: PlainCall
+    ) -> CachedResponse | Refusal:
         """Make a call to its end."""
         while True:
             wish = Wish(
@@ -55,23 +57,23 @@
             if isinstance(started, Refusal):
                 return started
             try:
-                answer = await self._call_once(progress, call, started)
+                response = await self._call_once(progress, call, started)
             finally:
                 self._attempts.release(started)
-            if answer is not None:
-                return await self._finish_call(progress, call, started, answer)
+            if response is not None:
+                return await self._finish_call(progress, call, started, response)
             if not self._attempts.may_try_again(progress):
                 return refuse_unfinished(progress)
             self._metrics.retries.inc()
 
     async def _call_once(
         self, progress: Progress, call: PlainCall, started: Started
-    ) -> ServiceAnswer | None:
+    ) -> ServiceResponse | None:
         upstream = started.placement.upstream
         progress.life.dispatch()
         name = name_stream(call.request, started.attempt.id)
         try:
-            answer = await self._services.call(upstream.url, name, call.call)
+            response = await self._services.call(upstream.url, name, call.call)
         except NotSentError as error:
             await self._attempts.give_up_unstarted(progress, started, error)
             return None
@@ -82,22 +84,22 @@
             return None
         upstream.circuit.succeed()
         progress.life.finish()
-        return answer
+        return response
 
     async def _finish_call(
         self,
         progress: Progress,
         call: PlainCall,
         started: Started,
-        answer: ServiceAnswer,
-    ) -> KeptAnswer:
+        response: ServiceResponse,
+    ) -> CachedResponse:
         await self._grants.settle(started.attempt, call.price)
-        kept = KeptAnswer(
+        kept = CachedResponse(
             call.content,
             call.price,
-            status=answer.status,
-            body=answer.body,
-            headers=dict(answer.headers),
+            status=response.status,
+            body=response.body,
+            headers=dict(response.headers),
         )
         self._index.keep(call, kept)
         self._metrics.billed_tokens.labels(call.request.workspace).inc(call.price)
--- a/packages/pondquay-daemon/src/pondquay_daemon/services.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/services.py
@@ -16,7 +16,7 @@
     from collections.abc import Mapping
 
 CONNECT_SECONDS = 1.0
-ANSWER_SECONDS = 30.0
+RESPONSE_SECONDS = 30.0
 REQUEST_HEADER = "Pondquay-Request"
 PASSED_ON = ("content-type", "etag", "last-modified", "location", "cache-control")
 
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ServiceAnswer:
+class ServiceResponse:
     """The whole answer of a plain service."""
 
     status: int
@@ -51,7 +51,7 @@
         agent = Agent(reactor, pool=make_pool(reactor), connectTimeout=CONNECT_SECONDS)
         self._http = treq.client.HTTPClient(agent)
 
-    async def call(self, url: str, name: str, call: ServiceCall) -> ServiceAnswer:
+    async def call(self, url: str, name: str, call: ServiceCall) -> ServiceResponse:
         """Make a call and return its whole answer.
 
         :param name: the attempt's name, for the service's own log
@@ -66,11 +66,11 @@
                 f"{url}/{call.path}",
                 data=call.body or None,
                 headers=headers,
-                timeout=ANSWER_SECONDS,
+                timeout=RESPONSE_SECONDS,
                 allow_redirects=False,
             )
             body = await treq.content(response).addTimeout(
-                ANSWER_SECONDS, self._reactor
+                RESPONSE_SECONDS, self._reactor
             )
         except (ConnectError, ConnectingCancelledError) as error:
             raise NotSentError(str(error)) from error
@@ -81,4 +81,4 @@
             for name in PASSED_ON
             if (values := response.headers.getRawHeaders(name.encode()))
         }
-        return ServiceAnswer(response.code, body, passed)
+        return ServiceResponse(response.code, body, passed)
--- a/packages/pondquay-daemon/src/pondquay_daemon/settings.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/settings.py
@@ -18,7 +18,7 @@
     from pondquay.ini import IniDocument, IniSection
 
 PARTNER_PREFIX = "partner "
-SECRET_BYTES_LEAST = 16
+MIN_SECRET_BYTES = 16
 
 
 class Section(BaseModel):
@@ -76,8 +76,8 @@
             key = path.read_bytes().strip()
         except OSError as error:
             raise ValueError(f"cannot be read: {error.strerror}") from error
-        if len(key) < SECRET_BYTES_LEAST:
-            raise ValueError(f"must hold at least {SECRET_BYTES_LEAST} bytes")
+        if len(key) < MIN_SECRET_BYTES:
+            raise ValueError(f"must hold at least {MIN_SECRET_BYTES} bytes")
         return path
 
 
@@ -219,7 +219,7 @@
         if key in known:
             values[key] = text
             continue
-        place = section.place_of(key)
+        place = section.describe_location(key)
         findings.add(
             place, f"{section.name}.{key}", f"unknown{suggest_name(key, known)}"
         )
@@ -228,7 +228,7 @@
     except ValidationError as error:
         for one in error.errors():
             key = str(one["loc"][0])
-            place = section.place_of(key)
+            place = section.describe_location(key)
             message = one["msg"].removeprefix("Value error, ")
             findings.add(place, f"{section.name}.{key}", message)
         return None
--- a/packages/pondquay-daemon/src/pondquay_daemon/upstreams.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/upstreams.py
@@ -31,7 +31,7 @@
 LATE_SECONDS = 0.1
 STALE_SECONDS = 5.0
 WHOLE_SHARE = 100
-MOST_PREFIXES = 2000
+MAX_PREFIXES = 2000
 
 
 @dataclass(frozen=True, slots=True)
@@ -103,7 +103,7 @@
         """Follow the platform's list and the upstreams' reports from now on."""
         self.repeat(LIST_SECONDS, self._follow_list)
         self.repeat(LOAD_SECONDS, self._ask_loads)
-        self.repeat(LATE_SECONDS, self._drop_late)
+        self.repeat(LATE_SECONDS, self._drop_expired)
 
     # Who there is
 
@@ -167,7 +167,7 @@
             self.mark_leaving([upstream.name])
         for prefix in content.get("cached", []):
             upstream.prefixes[str(prefix)] = 1
-        while len(upstream.prefixes) > MOST_PREFIXES:
+        while len(upstream.prefixes) > MAX_PREFIXES:
             upstream.prefixes.pop(next(iter(upstream.prefixes)))
         self._place_waiting()
 
@@ -209,8 +209,8 @@
         placement.upstream.end(placement.tokens)
         self._place_waiting()
 
-    async def _drop_late(self) -> None:
-        for entry in self._queue.drop_late(self.clock.seconds()):
+    async def _drop_expired(self) -> None:
+        for entry in self._queue.drop_expired(self.clock.seconds()):
             entry.placed.callback(None)
 
     def _place_waiting(self) -> None:
--- a/packages/pondquay-daemon/src/pondquay_daemon/wire.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/wire.py
@@ -17,8 +17,8 @@
 from pondquay_daemon.errors import LinkError
 
 WIRE_VERSION = 1
-MOST_FRAME_BYTES = 1 << 20
-MOST_ITEMS = 20_000
+MAX_FRAME_BYTES = 1 << 20
+MAX_ITEMS = 20_000
 
 
 @dataclass(frozen=True, slots=True)
@@ -100,7 +100,7 @@
     """
     try:
         content = msgpack.unpackb(
-            frame, max_array_len=MOST_ITEMS, max_map_len=0, max_ext_len=0
+            frame, max_array_len=MAX_ITEMS, max_map_len=0, max_ext_len=0
         )
         version, kind, *values = content
     except (ValueError, TypeError, msgpack.UnpackException) as error:
