--- a/packages/pondquay-standins/src/pondquay_standins/processes.py
+++ b/packages/pondquay-standins/src/pondquay_standins/processes.py
@@ -72,7 +72,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HttpAnswer:
+class HttpResponse:
     """The answer to an HTTP call."""
 
     status: int
@@ -90,7 +90,7 @@
     body: object = None,
     headers: dict[str, str] | None = None,
     timeout: float = CALL_SECONDS,
-) -> HttpAnswer:
+) -> HttpResponse:
     """Make one HTTP call.
 
     :raises OSError: if there is no answer
@@ -99,9 +99,11 @@
     request = urllib.request.Request(url, data, headers or {}, method=method)
     try:
         with urllib.request.urlopen(request, timeout=timeout) as response:
-            return HttpAnswer(response.status, response.read(), dict(response.headers))
+            return HttpResponse(
+                response.status, response.read(), dict(response.headers)
+            )
     except urllib.error.HTTPError as error:
-        return HttpAnswer(error.code, error.read(), dict(error.headers))
+        return HttpResponse(error.code, error.read(), dict(error.headers))
 
 
 def wait_until(
--- a/packages/pondquay-standins/src/pondquay_standins/routedfleet.py
+++ b/packages/pondquay-standins/src/pondquay_standins/routedfleet.py
@@ -255,7 +255,7 @@
         connection = HTTPConnection(HOST, relay.port, timeout=CALL_SECONDS)
         try:
             connection.request(method, path, body=b"body", headers=sent)
-            return _read_answer(connection)
+            return _read_response(connection)
         finally:
             connection.close()
 
@@ -331,7 +331,7 @@
         return process
 
 
-def _read_answer(connection: HTTPConnection) -> Answered:
+def _read_response(connection: HTTPConnection) -> Answered:
     response = connection.getresponse()
     body, complete = read_body(response)
     return Answered(response.status, dict(response.headers), body, complete)
--- a/packages/pondquay-standins/src/pondquay_standins/routedplatform.py
+++ b/packages/pondquay-standins/src/pondquay_standins/routedplatform.py
@@ -24,7 +24,7 @@
 
 HOST = "127.0.0.1"
 # After which a replica that crashed is back.
-BACK_SECONDS = 1.0
+RESTART_SECONDS = 1.0
 
 
 # What a replica that runs is told to do.
@@ -70,7 +70,7 @@
         """Start a replica and list it."""
         replica = Replica(described["name"], described["service"], described["zone"])
         self._ports[replica.name] = described["port"]
-        self._begin_life(replica)
+        self._begin_incarnation(replica)
         self.list_replica(replica.name, described["port"], "ready")
 
     def crash(self, name: str) -> None:
@@ -81,11 +81,11 @@
         listening.stopListening()
         self.replicas[name].on_crash = None
         self.replicas[name].crash()
-        reactor.callLater(BACK_SECONDS, self._start_again, name)
+        reactor.callLater(RESTART_SECONDS, self._start_again, name)
 
     def _start_again(self, name: str) -> None:
         before = self.replicas[name]
-        self._begin_life(
+        self._begin_incarnation(
             Replica(
                 name,
                 before.service,
@@ -100,7 +100,7 @@
         if name in self._listed:
             self.list_replica(name, *self._listed[name])
 
-    def _begin_life(self, replica: Replica) -> None:
+    def _begin_incarnation(self, replica: Replica) -> None:
         name = replica.name
         self.replicas[name] = replica
         replica.on_crash = lambda: self.crash(name)
--- a/packages/pondquay-standins/src/pondquay_standins/soak/callers.py
+++ b/packages/pondquay-standins/src/pondquay_standins/soak/callers.py
@@ -19,11 +19,11 @@
 PAUSE_SECONDS = (0.005, 0.06)
 PROMPT_TOKENS = 100
 EVENT_TOKENS = 3
-MOST_EVENTS = 20
+MAX_EVENTS = 20
 ROUTES = ("audit", "review", "fetch", "write")
 STREAMS = frozenset({"audit", "review"})
 KEY = "key-1"
-NO_ANSWER = 0
+NO_RESPONSE = 0
 
 
 @dataclass(frozen=True, slots=True)
@@ -97,10 +97,10 @@
         self, connection: HTTPConnection, relay: str, attempt: str, random: Random
     ) -> Call:
         route = random.choice(ROUTES)
-        events = random.randint(1, MOST_EVENTS) if route in STREAMS else 0
+        events = random.randint(1, MAX_EVENTS) if route in STREAMS else 0
         headers = make_headers(attempt, events)
         began = time.monotonic()
-        status, body, signature, complete = NO_ANSWER, b"", "", False
+        status, body, signature, complete = NO_RESPONSE, b"", "", False
         try:
             connection.request("POST", f"/{route}/", body=b"body", headers=headers)
             response = connection.getresponse()
--- a/packages/pondquay-standins/src/pondquay_standins/soak/runs.py
+++ b/packages/pondquay-standins/src/pondquay_standins/soak/runs.py
@@ -19,7 +19,7 @@
 from pondquay_standins.soak.builds import PRESENT_BUILD
 from pondquay_standins.soak.buildspans import BuildSpans
 from pondquay_standins.soak.callers import (
-    NO_ANSWER,
+    NO_RESPONSE,
     Caller,
 )
 from pondquay_standins.soak.finalchecks import CRASHING_PATH, FinalChecks
@@ -108,7 +108,7 @@
             return False
         # An answer that broke off before that may be a replica's doing.
         at_the_end = call.ended >= self.ended - STOP_MARGIN_SECONDS
-        return call.status == NO_ANSWER or at_the_end
+        return call.status == NO_RESPONSE or at_the_end
 
 
 class SoakRun:
--- a/packages/pondquay-standins/src/pondquay_standins/soak/schedules.py
+++ b/packages/pondquay-standins/src/pondquay_standins/soak/schedules.py
@@ -16,8 +16,8 @@
 
 # A fault begins each so many seconds, as a mean.
 BETWEEN_SECONDS = 0.5
-LEAST_SECONDS = 0.3
-MOST_SECONDS = 3.0
+MIN_SECONDS = 0.3
+MAX_SECONDS = 3.0
 
 
 class FaultKind(StrEnum):
@@ -128,7 +128,7 @@
     replicas: Sequence[str],
 ) -> PlannedFault:
     kind = random.choice(kinds)
-    lasts = random.uniform(LEAST_SECONDS, MOST_SECONDS)
+    lasts = random.uniform(MIN_SECONDS, MAX_SECONDS)
     faults: dict[FaultKind, tuple[Sequence[str], Sequence[str]]] = {
         FaultKind.STORE: ([""], _names(StoreFault)),
         FaultKind.STORE_LINE: (relays, _names(ProxyFault)),
--- a/packages/pondquay/src/pondquay/billing/fold.py
+++ b/packages/pondquay/src/pondquay/billing/fold.py
@@ -31,7 +31,7 @@
 
 BILL_PREFIX = "bill/"
 ACCOUNT_PREFIX = "account/"
-MOST_BILLS = 200
+MAX_BILLS = 200
 
 
 @dataclass(frozen=True, slots=True)
@@ -141,7 +141,7 @@
         return changed
 
 
-def fold_segments(most_bills: int = MOST_BILLS) -> Program[Folded | Unreachable]:
+def fold_segments(most_bills: int = MAX_BILLS) -> Program[Folded | Unreachable]:
     """Take in some segments; nothing is lost or counted twice if this is cut short.
 
     A lost answer needs no care: the next fold reads the segments that still stand.
--- a/packages/pondquay/src/pondquay/budgets/accounts.py
+++ b/packages/pondquay/src/pondquay/budgets/accounts.py
@@ -20,7 +20,7 @@
 # are kept for these: they answer more callers than few large requests would, when after
 # a loss of all instances hardly anything is left.
 SMALL_PART = 0.01
-LEAST_AGE_SECONDS = 2.0
+MIN_AGE_SECONDS = 2.0
 # Part of what a lender has left that a borrower may get beyond its need.
 AHEAD_PART = 0.25
 
@@ -73,7 +73,7 @@
         """Return tokens a second; a short past is not taken for a low rate."""
         if self._began is None:
             return 0.0
-        age = max(LEAST_AGE_SECONDS, now - self._began)
+        age = max(MIN_AGE_SECONDS, now - self._began)
         return self._sum_at(now) / (RATE_SECONDS * (1 - exp(-age / RATE_SECONDS)))
 
     def mean_rate(self, now: float) -> float:
@@ -156,7 +156,7 @@
         self.spent += lent
         return lent
 
-    def lend_ahead(self, tokens: int, ahead: int) -> int:
+    def lend_headroom(self, tokens: int, ahead: int) -> int:
         """Lend to an instance that holds no allotment; return how many tokens.
 
         :param tokens: that it needs now
@@ -259,7 +259,7 @@
         entry = self.row.holders.get(self.holder)
         return entry is not None and entry.boot != self.boot
 
-    def most_headroom(self) -> int:
+    def max_headroom(self) -> int:
         """Return the most headroom that the row has room for."""
         entry = self.row.find(self.holder, self.boot)
         stored = 0 if entry is None else entry.ceiling
--- a/packages/pondquay/src/pondquay/budgets/allotments.py
+++ b/packages/pondquay/src/pondquay/budgets/allotments.py
@@ -22,10 +22,10 @@
 
 
 # No budget comes near this many tokens; sums over all holders stay exact.
-MOST_TOKENS = 1 << 53
-Tokens = Annotated[int, Meta(ge=0, le=MOST_TOKENS)]
+MAX_TOKENS = 1 << 53
+Tokens = Annotated[int, Meta(ge=0, le=MAX_TOKENS)]
 # Below zero where more was borrowed than lent.
-Balance = Annotated[int, Meta(ge=-MOST_TOKENS, le=MOST_TOKENS)]
+Balance = Annotated[int, Meta(ge=-MAX_TOKENS, le=MAX_TOKENS)]
 
 
 class _RowDocument(msgspec.Struct, frozen=True):
--- a/packages/pondquay/src/pondquay/budgets/closings.py
+++ b/packages/pondquay/src/pondquay/budgets/closings.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING
 
 from pondquay.billing.bills import Bill, dump_segment
-from pondquay.budgets.programs import MOST_TRIES
+from pondquay.budgets.programs import MAX_TRIES
 from pondquay.budgets.rows import (
     BudgetRow,
     GrantRow,
@@ -80,7 +80,7 @@
     """
     at_budget = budget_key(closing.workspace)
     at_grant = grant_key(closing.grant)
-    for _ in range(MOST_TRIES):
+    for _ in range(MAX_TRIES):
         rows = yield from read_rows(at_budget, at_grant)
         if isinstance(rows, Unreachable):
             return rows
@@ -154,7 +154,7 @@
     """
     at_budget = budget_key(workspace)
     at_grant = grant_key(grant)
-    for _ in range(MOST_TRIES):
+    for _ in range(MAX_TRIES):
         rows = yield from read_rows(at_budget, at_grant)
         if isinstance(rows, Unreachable):
             return rows
--- a/packages/pondquay/src/pondquay/budgets/demands.py
+++ b/packages/pondquay/src/pondquay/budgets/demands.py
@@ -15,7 +15,7 @@
     from pondquay.budgets.rows import BudgetRow
 
 # Workspaces for which an instance keeps tokens without having seen a request.
-MOST_WATCHED = 200
+MAX_WATCHED = 200
 MEMORY_SECONDS = 900.0
 PRIOR_SECONDS = 60.0
 SECONDS_AN_HOUR = 3600
@@ -79,7 +79,7 @@
         :param workspaces: names; beyond a bound they wait for their first request
         """
         for workspace in workspaces:
-            if len(self._demands) >= MOST_WATCHED:
+            if len(self._demands) >= MAX_WATCHED:
                 return
             self.find(workspace)
 
--- a/packages/pondquay/src/pondquay/budgets/headroom.py
+++ b/packages/pondquay/src/pondquay/budgets/headroom.py
@@ -16,7 +16,7 @@
 COVER_REQUESTS = 1
 # Part of the prepaid tokens that they keep while no demand is known, and at most.
 FIRST_OF_PREPAID = 0.15
-MOST_OF_PREPAID = 0.25
+MAX_OF_PREPAID = 0.25
 # Part of the prepaid tokens that an instance keeps before it knows the others.
 FIRST_PART = 0.03
 # Rate that is added to each instance's, as a part of the mean, so that all get some.
@@ -40,7 +40,7 @@
     return (own + floor) / (own + sum(rates) + floor * (1 + len(rates)))
 
 
-def kept_ahead(account: Account, now: float) -> float:
+def fleet_headroom(account: Account, now: float) -> float:
     """Return the tokens that all instances together should have unspent."""
     rate = account.demand.rate(now)
     rate += sum(one.rate for one in account.others().values())
@@ -48,20 +48,20 @@
     if rate == 0.0:
         need = FIRST_OF_PREPAID * account.prepaid
     most = min(
-        MOST_OF_PREPAID * account.prepaid, account.policy.most_of_left * account.left()
+        MAX_OF_PREPAID * account.prepaid, account.policy.most_of_left * account.left()
     )
     return min(need, most)
 
 
 def target_headroom(account: Account, now: float) -> int:
     """Return the tokens that this instance should have unspent."""
-    kept = kept_ahead(account, now)
+    kept = fleet_headroom(account, now)
     if not account.others():
         kept = min(kept, FIRST_PART * account.prepaid)
     return max(0, int(kept * share_of_demand(account, now)))
 
 
-def plan_ahead(account: Account, now: float) -> int:
+def plan_borrowed_headroom(account: Account, now: float) -> int:
     """Return what an instance without an allotment should have from lenders.
 
     Such instances are many, and each sees few requests: what they hold is missing where
@@ -69,10 +69,10 @@
     series, and where little is left, little of it is held.
     """
     ahead = account.policy.ahead_seconds * account.demand.mean_rate(now)
-    return int(min(ahead, most_borrowed(account, now)))
+    return int(min(ahead, max_borrowed(account, now)))
 
 
-def most_borrowed(account: Account, now: float) -> float:
+def max_borrowed(account: Account, now: float) -> float:
     """Return the tokens that such an instance may hold without need for them.
 
     It is the instance's part, by its part of the demand, of what all may keep ahead, if
@@ -101,7 +101,7 @@
     While nothing can be reached it serves from what it has; without this that is what
     requests have left of the last loan, half of its plan on average.
     """
-    keep = plan_ahead(account, now)
+    keep = plan_borrowed_headroom(account, now)
     lacking = keep - account.unspent
     if keep < account.demand.largest or account.unspent >= TOP_UP_PART * keep:
         return 0
@@ -110,12 +110,12 @@
 
 def plan_return(account: Account, now: float) -> int:
     """Return the tokens that such an instance should hand back to a lender."""
-    keep = plan_ahead(account, now)
+    keep = plan_borrowed_headroom(account, now)
     if not account.policy.return_surplus:
         return 0
     surplus = account.unspent - keep
     worth_returning = account.policy.return_part * account.demand.largest
-    least = min(worth_returning, most_borrowed(account, now))
+    least = min(worth_returning, max_borrowed(account, now))
     return surplus if surplus > least else 0
 
 
@@ -124,7 +124,7 @@
 
     The part for small ones stays in the row, where no death strands it.
     """
-    most = account.most_headroom()
+    most = account.max_headroom()
     return max(0, min(account.unspent, most), most - account.last_part)
 
 
@@ -133,7 +133,7 @@
     return sum(one.unspent for one in account.others().values())
 
 
-def want_tokens(account: Account, tokens: int) -> None:
+def request_tokens(account: Account, tokens: int) -> None:
     """Note that a request waits for tokens.
 
     The most that is waited for counts, unless the row has nothing for it: a large
@@ -147,7 +147,7 @@
 def _room_for(account: Account, tokens: int) -> int:
     """Return the most headroom that the row has for a request of some size."""
     if account.is_small(tokens):
-        return account.most_headroom()
+        return account.max_headroom()
     return ordinary_headroom(account)
 
 
@@ -155,7 +155,7 @@
     """Return the headroom that should be written, ``None`` if nothing is worth it."""
     target = target_headroom(account, now)
     unspent = account.unspent
-    most = account.most_headroom()
+    most = account.max_headroom()
     ordinary = ordinary_headroom(account)
     if account.has_earlier_life:
         # Closed at once, also where nothing is to be had: until then what it held
--- a/packages/pondquay/src/pondquay/budgets/manager.py
+++ b/packages/pondquay/src/pondquay/budgets/manager.py
@@ -37,8 +37,8 @@
     from pondquay.names import InstanceId
     from pondquay.tables import Program
 
-MOST_BILLS = 200
-MOST_ADJUSTMENTS = 50
+MAX_BILLS = 200
+MAX_ADJUSTMENTS = 50
 REPORT_DRIFT = 0.05
 
 
@@ -109,13 +109,13 @@
             row = rows.rows.get(budget_key(workspace))
             self.demands.find(workspace).budget = load_budget(row)
 
-    def give_back(self, workspace: str, tokens: int) -> Program[None]:
+    def return_tokens(self, workspace: str, tokens: int) -> Program[None]:
         """Return tokens of a workspace to its budget."""
         planned = self._plan_return(self.holder.of_workspace(workspace), tokens)
         if planned:
             yield from self._adjust(planned)
 
-    def answer_recall(self, recall: Recall) -> Program[None]:
+    def handle_recall(self, recall: Recall) -> Program[None]:
         """Give back half of what is at hand, as an instance that has nothing asks.
 
         The half is never less than what was asked for, if there is so much.
@@ -124,7 +124,7 @@
         at_hand = sum(one.free for one in own)
         tokens = min(at_hand, max(at_hand // 2, recall.tokens))
         if tokens:
-            yield from self.give_back(recall.workspace, tokens)
+            yield from self.return_tokens(recall.workspace, tokens)
 
     def _plan_refill(self, workspace: str, tokens: Sequence[int]) -> list[Adjustment]:
         wanted = sum(tokens)
@@ -310,7 +310,7 @@
         for workspace in self.demands:
             if self.demands.find(workspace).budget is not None:
                 planned += self._plan_rebalance(workspace)
-            if len(planned) >= MOST_ADJUSTMENTS:
+            if len(planned) >= MAX_ADJUSTMENTS:
                 break
         if planned:
             yield from self._adjust(planned)
@@ -340,7 +340,7 @@
 
     # Bills
 
-    def flush(self, most: int = MOST_BILLS) -> Program[list[Attempt]]:
+    def flush(self, most: int = MAX_BILLS) -> Program[list[Attempt]]:
         """Write the bills of ended attempts to the table in one transaction.
 
         While the table is out of reach a single bill is tried, which costs little.
--- a/packages/pondquay/src/pondquay/budgets/programs.py
+++ b/packages/pondquay/src/pondquay/budgets/programs.py
@@ -40,7 +40,7 @@
     from pondquay.names import GrantId, InstanceId
     from pondquay.tables import Program
 
-MOST_TRIES = 6
+MAX_TRIES = 6
 
 
 @dataclass(frozen=True, slots=True)
@@ -100,7 +100,7 @@
     :param adjustments: at most one for a grant
     """
     keys = _adjustment_keys(adjustments)
-    for _ in range(MOST_TRIES):
+    for _ in range(MAX_TRIES):
         rows = yield from read_rows(*keys)
         if isinstance(rows, Unreachable):
             return rows
@@ -129,7 +129,7 @@
     """
     keys = _adjustment_keys(adjustments)
     budgets = tuple(dict.fromkeys(budget_key(one.workspace) for one in adjustments))
-    for _ in range(MOST_TRIES):
+    for _ in range(MAX_TRIES):
         rows = yield from read_rows(*keys)
         if isinstance(rows, Unreachable):
             return rows
--- a/packages/pondquay/src/pondquay/budgets/sizing.py
+++ b/packages/pondquay/src/pondquay/budgets/sizing.py
@@ -5,7 +5,7 @@
 from pondquay.budgets.policies import GRANT_POLICIES, GrantPolicy, GrantView
 
 RESERVE_SECONDS = 5400.0
-LEAST_REQUESTS = 16
+MIN_REQUESTS = 16
 SLACK = 0.05
 # Part of a budget that all instances together hold where no demand was seen yet, so
 # that each can serve if the table is away when the first request comes.
@@ -50,7 +50,7 @@
         share = view.rate / view.fleet_rate if view.fleet_rate > 0 else 0.0
         if share == 0.0:
             share = 1.0 / (4 * max(1, view.instances))
-        longest = max(LEAST_REQUESTS * view.largest, int(view.rate * RESERVE_SECONDS))
+        longest = max(MIN_REQUESTS * view.largest, int(view.rate * RESERVE_SECONDS))
         if view.largest == 0:
             longest = int(BASE_PART * view.limit / max(1, view.instances))
         return min(longest, int(view.left * min(1.0, share)))
--- a/packages/pondquay/src/pondquay/budgets/succession.py
+++ b/packages/pondquay/src/pondquay/budgets/succession.py
@@ -62,7 +62,7 @@
         self._directory = directory
         self._number = 0
 
-    def seal_silent(self) -> list[GrantId]:
+    def seal_unresponsive(self) -> list[GrantId]:
         """Seal the grants of holders that are gone; return those newly sealed."""
         newly = []
         for holder in self._witness.holders():
@@ -96,7 +96,7 @@
             if grant.state is GrantState.OPEN:
                 self.seal(parse_grant_key(row.key), grant.workspace)
 
-    def wind_up(self, sealed: SealedGrant) -> Program[None]:
+    def close_sealed(self, sealed: SealedGrant) -> Program[None]:
         """Bring a sealed grant further: close it, then write what was resolved."""
         grant = self._witness.grants.get(sealed.id)
         if grant is None:
--- a/packages/pondquay/src/pondquay/budgets/witness.py
+++ b/packages/pondquay/src/pondquay/budgets/witness.py
@@ -37,8 +37,8 @@
         WitnessMessage,
     )
 
-MOST_GRANTS = 50_000
-MOST_OPEN = 10_000
+MAX_GRANTS = 50_000
+MAX_OPEN = 10_000
 
 
 @dataclass(slots=True)
@@ -83,7 +83,7 @@
     """
 
     def __init__(
-        self, most_grants: int = MOST_GRANTS, most_open: int = MOST_OPEN
+        self, most_grants: int = MAX_GRANTS, most_open: int = MAX_OPEN
     ) -> None:
         self.grants: dict[GrantId, WitnessedGrant] = {}
         self._highest: dict[InstanceId, int] = {}
--- a/packages/pondquay/src/pondquay/configuration/entities.py
+++ b/packages/pondquay/src/pondquay/configuration/entities.py
@@ -7,13 +7,13 @@
 
 from pydantic import BaseModel, ConfigDict, Field, TypeAdapter, field_validator
 
-MOST_TOKENS = 10**15
+MAX_TOKENS = 10**15
 NAME_PATTERN = r"^[a-z0-9][a-z0-9.-]{0,62}$"
 DIGEST_PATTERN = r"^sha256:[0-9a-f]{64}$"
 WHOLE_SHARE = 100
 
 Name: TypeAlias = Annotated[str, Field(pattern=NAME_PATTERN)]
-Tokens: TypeAlias = Annotated[int, Field(ge=0, le=MOST_TOKENS)]
+Tokens: TypeAlias = Annotated[int, Field(ge=0, le=MAX_TOKENS)]
 
 
 class Priority(StrEnum):
--- a/packages/pondquay/src/pondquay/configuration/intents.py
+++ b/packages/pondquay/src/pondquay/configuration/intents.py
@@ -70,7 +70,9 @@
         if key not in known:
             hint = suggest_name(key, known)
             findings.add(
-                section.place_of(key), f"{section.name}.{key}", f"unknown{hint}"
+                section.describe_location(key),
+                f"{section.name}.{key}",
+                f"unknown{hint}",
             )
             continue
         values[key] = _parse_value(key, text)
@@ -79,7 +81,9 @@
     except ValidationError as error:
         for one in error.errors():
             key = str(one["loc"][0]) if one["loc"] else ""
-            findings.add(section.place_of(key), f"{section.name}.{key}", one["msg"])
+            findings.add(
+                section.describe_location(key), f"{section.name}.{key}", one["msg"]
+            )
         return None
 
 
--- a/packages/pondquay/src/pondquay/configuration/programs.py
+++ b/packages/pondquay/src/pondquay/configuration/programs.py
@@ -28,9 +28,9 @@
 
     from pondquay.tables import Program
 
-MOST_TRIES = 8
-MOST_DELTAS = 100
-MOST_BEHIND = 500
+MAX_TRIES = 8
+MAX_DELTAS = 100
+MAX_BEHIND = 500
 
 
 @dataclass(frozen=True, slots=True)
@@ -112,7 +112,7 @@
     Of two that race, one moves the head and the other reads again. Confirming twice
     is confirming once.
     """
-    for _ in range(MOST_TRIES):
+    for _ in range(MAX_TRIES):
         rows = yield from read_rows(plan_key(plan_id), HEAD_KEY)
         if isinstance(rows, Unreachable):
             return rows
@@ -147,7 +147,7 @@
 ) -> Program[PlanOutdated | Unreachable | None]:
     """Look for a version since the plan's base that touched what the plan touches."""
     head = _head_version(rows)
-    if head - plan.base > MOST_BEHIND:
+    if head - plan.base > MAX_BEHIND:
         return PlanOutdated(plan, head, "too many versions")
     wanted = {change.identity for change in plan.changes}
     deltas = yield from fetch_deltas(plan.base, head)
@@ -255,8 +255,8 @@
 def fetch_deltas(base: int, head: int) -> Program[tuple[Delta, ...] | Unreachable]:
     """Fetch what leads from one version to another, in order."""
     deltas: list[Delta] = []
-    for start in range(base + 1, head + 1, MOST_DELTAS):
-        stop = min(head + 1, start + MOST_DELTAS)
+    for start in range(base + 1, head + 1, MAX_DELTAS):
+        stop = min(head + 1, start + MAX_DELTAS)
         keys = [delta_key(version) for version in range(start, stop)]
         rows = yield from read_rows(*keys)
         if isinstance(rows, Unreachable) or any(key not in rows.rows for key in keys):
--- a/packages/pondquay/src/pondquay/ini.py
+++ b/packages/pondquay/src/pondquay/ini.py
@@ -34,7 +34,7 @@
         """Where the section begins."""
         return f"{self.source}:{self.line}"
 
-    def place_of(self, key: str) -> str:
+    def describe_location(self, key: str) -> str:
         """Return where a key stands, or the section's place if it does not stand."""
         return f"{self.source}:{self.lines.get(key, self.line)}"
 
--- a/packages/pondquay/src/pondquay/membership/peers.py
+++ b/packages/pondquay/src/pondquay/membership/peers.py
@@ -20,7 +20,7 @@
 class Peer:
     """A peer as last heard of.
 
-    :param heard: when it was heard last, in seconds
+    :param last_seen_at: when it was heard last, in seconds
     :param connected: whether a link to it stands
     """
 
@@ -28,7 +28,7 @@
     domain: str
     version: int
     leaving: bool
-    heard: float
+    last_seen_at: float
     connected: bool = True
 
 
@@ -42,7 +42,7 @@
         self._domain = domain
         self.known: dict[InstanceId, Peer] = {}
 
-    def hear(self, heartbeat: Heartbeat, now: float) -> None:
+    def receive(self, heartbeat: Heartbeat, now: float) -> None:
         """Take in a heartbeat; a new boot under a known name replaces the old one."""
         peer = self.known.get(heartbeat.instance)
         if peer is None:
@@ -50,7 +50,7 @@
             self.known[heartbeat.instance] = peer
         peer.version = max(peer.version, heartbeat.version)
         peer.leaving = heartbeat.leaving
-        peer.heard = now
+        peer.last_seen_at = now
         peer.connected = True
 
     def disconnect(self, instance: InstanceId) -> None:
@@ -64,14 +64,14 @@
         peer = self.known.get(instance)
         if peer is None or not peer.connected:
             return False
-        return now - peer.heard < SUSPECT_AFTER_SECONDS
+        return now - peer.last_seen_at < SUSPECT_AFTER_SECONDS
 
     def suspects(self, now: float) -> list[InstanceId]:
         """Return the peers that have been silent for too long."""
         return [
             instance
             for instance, peer in self.known.items()
-            if now - peer.heard >= SUSPECT_AFTER_SECONDS
+            if now - peer.last_seen_at >= SUSPECT_AFTER_SECONDS
         ]
 
     def forget(self, instance: InstanceId) -> None:
--- a/packages/pondquay/src/pondquay/requests/lifecycle.py
+++ b/packages/pondquay/src/pondquay/requests/lifecycle.py
@@ -21,7 +21,7 @@
     UNKNOWN = "unknown"
 
 
-class RequestLife(Protocol):
+class RequestLifecycle(Protocol):
     """What can happen to a request."""
 
     def dispatch(self) -> None:
@@ -45,28 +45,28 @@
     """The machine keeps all its state in its states."""
 
 
-def _build(*, repeatable: bool) -> TypeMachineBuilder[RequestLife, _Core]:
-    builder = TypeMachineBuilder(RequestLife, _Core)
+def _build(*, repeatable: bool) -> TypeMachineBuilder[RequestLifecycle, _Core]:
+    builder = TypeMachineBuilder(RequestLifecycle, _Core)
     waiting = builder.state("waiting")
     running = builder.state("running")
     lost = builder.state("lost")
     running_again = builder.state("running_again")
     done = builder.state("done")
 
-    waiting.upon(RequestLife.dispatch).to(running).returns(None)
-    running.upon(RequestLife.refuse).to(waiting).returns(None)
-    running.upon(RequestLife.lose).to(lost).returns(None)
-    running.upon(RequestLife.finish).to(done).returns(None)
+    waiting.upon(RequestLifecycle.dispatch).to(running).returns(None)
+    running.upon(RequestLifecycle.refuse).to(waiting).returns(None)
+    running.upon(RequestLifecycle.lose).to(lost).returns(None)
+    running.upon(RequestLifecycle.finish).to(done).returns(None)
     if repeatable:
-        lost.upon(RequestLife.dispatch).to(running_again).returns(None)
-        running_again.upon(RequestLife.refuse).to(lost).returns(None)
-        running_again.upon(RequestLife.lose).to(lost).returns(None)
-        running_again.upon(RequestLife.finish).to(done).returns(None)
+        lost.upon(RequestLifecycle.dispatch).to(running_again).returns(None)
+        running_again.upon(RequestLifecycle.refuse).to(lost).returns(None)
+        running_again.upon(RequestLifecycle.lose).to(lost).returns(None)
+        running_again.upon(RequestLifecycle.finish).to(done).returns(None)
 
     for state in (running, lost, running_again):
-        state.upon(RequestLife.outcome).loop().returns(Outcome.UNKNOWN)
-    waiting.upon(RequestLife.outcome).loop().returns(Outcome.NOT_RUN)
-    done.upon(RequestLife.outcome).loop().returns(Outcome.DONE)
+        state.upon(RequestLifecycle.outcome).loop().returns(Outcome.UNKNOWN)
+    waiting.upon(RequestLifecycle.outcome).loop().returns(Outcome.NOT_RUN)
+    done.upon(RequestLifecycle.outcome).loop().returns(Outcome.DONE)
     return builder
 
 
@@ -74,7 +74,7 @@
 _BUILD_ONCE = _build(repeatable=False).build()
 
 
-def begin_request(*, repeatable: bool) -> RequestLife:
+def begin_request(*, repeatable: bool) -> RequestLifecycle:
     """Return the life of a new request.
 
     :param repeatable: whether it may be dispatched again after an attempt that may
--- a/packages/pondquay/src/pondquay/routing/admission.py
+++ b/packages/pondquay/src/pondquay/routing/admission.py
@@ -12,7 +12,7 @@
     from collections.abc import Callable
 
 T = TypeVar("T")
-MOST_WAITING = 256
+MAX_WAITING = 256
 ORDER = (Priority.HIGH, Priority.NORMAL, Priority.LOW)
 
 
@@ -34,7 +34,7 @@
     :param most_waiting: places for each priority
     """
 
-    def __init__(self, most_waiting: int = MOST_WAITING) -> None:
+    def __init__(self, most_waiting: int = MAX_WAITING) -> None:
         self._queues: dict[Priority, deque[Waiting[T]]] = {
             priority: deque() for priority in ORDER
         }
@@ -51,7 +51,7 @@
         queue.append(waiting)
         return True
 
-    def drop_late(self, now: float) -> list[T]:
+    def drop_expired(self, now: float) -> list[T]:
         """Take out all whose deadline has come, to be refused at once."""
         late: list[T] = []
         for priority, queue in self._queues.items():
--- a/packages/pondquay/src/pondquay/routing/copies.py
+++ b/packages/pondquay/src/pondquay/routing/copies.py
@@ -16,12 +16,12 @@
 
 # Tokens that a copy must spare reading: more than an engine reads in the time that it
 # takes to set one up.
-LEAST_COPIED_TOKENS = 512
+MIN_COPIED_TOKENS = 512
 
 
-def count_lacking(target: KnownUpstream, prefix: tuple[PromptPart, ...]) -> int:
+def count_missing_tokens(target: KnownUpstream, prefix: tuple[PromptPart, ...]) -> int:
     """Return the shared tokens of a prompt that an upstream has not read."""
-    return target.prompts.count_unread(prefix[:-1])
+    return target.prompts.count_uncached(prefix[:-1])
 
 
 def choose_source(
@@ -37,15 +37,15 @@
     :param others: sound upstreams of the same service
     :returns: ``None`` if a copy would not spare enough
     """
-    lacking = count_lacking(target, prefix)
+    lacking = count_missing_tokens(target, prefix)
     domain = target.record.domain
 
     def order(upstream: KnownUpstream) -> tuple[int, bool, str]:
-        spared = lacking - count_lacking(upstream, prefix)
+        spared = lacking - count_missing_tokens(upstream, prefix)
         return spared, upstream.record.domain == domain, upstream.name
 
     candidates = [one for one in others if one is not target]
     best = max(candidates, key=order, default=None)
-    if best is None or order(best)[0] < LEAST_COPIED_TOKENS:
+    if best is None or order(best)[0] < MIN_COPIED_TOKENS:
         return None
     return best
--- a/packages/pondquay/src/pondquay/routing/crashes.py
+++ b/packages/pondquay/src/pondquay/routing/crashes.py
@@ -42,9 +42,9 @@
 KEPT_SECONDS = LATEST_NEWS_SECONDS + SUSPECT_SECONDS
 # Contents that are suspected at a time, contents that are refused, and upstreams of
 # each. A crash brings as many suspects as were running there.
-MOST_SUSPECTED = 4096
-MOST_BLOCKED = 1024
-MOST_UPSTREAMS = 16
+MAX_SUSPECTED = 4096
+MAX_BLOCKED = 1024
+MAX_UPSTREAMS = 16
 
 
 @dataclass(frozen=True, slots=True)
@@ -89,7 +89,7 @@
         cleared = self.cleared & crashed
         return CrashReport(self.content, crashed, cleared, self.trials, ages)
 
-    def drop_late(self, most: float) -> CrashReport:
+    def drop_expired(self, most: float) -> CrashReport:
         """Return it without crashes that are too old, unless it is refused for them.
 
         :param most: seconds
@@ -129,7 +129,7 @@
         ages = {one: now - at for one, at in self.crashed.items()}
         crashed = frozenset(self.crashed)
         report = CrashReport(self.content, crashed, self.cleared, self.trials, ages)
-        return report.drop_late(KEPT_SECONDS)
+        return report.drop_expired(KEPT_SECONDS)
 
     def merge(self, report: CrashReport, now: float) -> None:
         """Take in what another instance knows.
@@ -140,7 +140,7 @@
             at = now - report.age(one)
             self.crashed[one] = min(at, self.crashed.get(one, at))
         self.cleared |= report.cleared
-        if len(self.crashed) > MOST_UPSTREAMS:
+        if len(self.crashed) > MAX_UPSTREAMS:
             self._drop_crashes()
         self.cleared = self.cleared & frozenset(self.crashed)
         self.trials = max(self.trials, report.trials)
@@ -149,7 +149,7 @@
         """Keep the newest crashes; what was cleared decides nothing any more."""
         left = [one for one in self.crashed.items() if one[0] not in self.cleared]
         left.sort(key=lambda one: (-one[1], one[0]))
-        self.crashed = dict(left[:MOST_UPSTREAMS])
+        self.crashed = dict(left[:MAX_UPSTREAMS])
 
 
 class CrashHistory:
@@ -201,7 +201,7 @@
         :returns: what peers are to hear, ``None`` if that was known
         """
         report = CrashReport(content, frozenset({upstream}))
-        return self.find(content) if self.hear(report) else None
+        return self.find(content) if self.receive(report) else None
 
     def note_served(self, content: bytes) -> CrashReport | None:
         """Take in that a run of a content came to its end.
@@ -211,17 +211,17 @@
         known = self.find(content)
         if known is None or not known.suspected:
             return None
-        self.hear(replace(known, cleared=known.crashed))
+        self.receive(replace(known, cleared=known.crashed))
         return self.find(content)
 
-    def hear(self, report: CrashReport) -> bool:
+    def receive(self, report: CrashReport) -> bool:
         """Take in what another instance knows; tell whether it is new."""
         content, now = report.content, self._clock()
         entry = self._find(content)
         if entry is None:
             entry = _Entry(content, {}, frozenset(), 0, now)
         before = entry.describe(now)
-        entry.merge(self._drop_late(report, before), now)
+        entry.merge(self._drop_expired(report, before), now)
         merged = entry.describe(now)
         if merged == before:
             return False
@@ -256,15 +256,15 @@
         trials = entry.trials
         if trials >= len(TRIAL_SECONDS) or self._clock() < entry.next_trial:
             return None
-        self.hear(CrashReport(content, frozenset(), trials=trials + 1))
+        self.receive(CrashReport(content, frozenset(), trials=trials + 1))
         return self.find(content)
 
     def _find(self, content: bytes) -> _Entry | None:
         return self._blocked.get(content) or self._suspected.get(content)
 
-    def _drop_late(self, report: CrashReport, known: CrashReport) -> CrashReport:
+    def _drop_expired(self, report: CrashReport, known: CrashReport) -> CrashReport:
         """Return a report without crashes that are new here and too old."""
-        fresh = report.drop_late(LATEST_NEWS_SECONDS).crashed
+        fresh = report.drop_expired(LATEST_NEWS_SECONDS).crashed
         return report.keep(fresh | (report.crashed & known.crashed))
 
     def _forget_old(self) -> None:
@@ -277,8 +277,8 @@
             content, entry = next(iter(self._suspected.items()))
             known = entry.describe(now)
             is_known = known.crashed or known.trials
-            if is_known and len(self._suspected) <= MOST_SUSPECTED:
+            if is_known and len(self._suspected) <= MAX_SUSPECTED:
                 break
             del self._suspected[content]
-        if len(self._blocked) > MOST_BLOCKED:
+        if len(self._blocked) > MAX_BLOCKED:
             del self._blocked[next(iter(self._blocked))]
--- a/packages/pondquay/src/pondquay/routing/directory.py
+++ b/packages/pondquay/src/pondquay/routing/directory.py
@@ -8,7 +8,7 @@
 from pondquay.routing.domainreach import DomainReach
 from pondquay.routing.evacuations import Evacuations
 from pondquay.routing.knownupstreams import KnownUpstream
-from pondquay.routing.listwatch import VANISHED_SECONDS, ListWatch
+from pondquay.routing.listwatch import MISSING_GRACE_SECONDS, ListWatch
 from pondquay.routing.upstreamrecords import Departure
 
 if TYPE_CHECKING:
@@ -19,7 +19,7 @@
 
 # Departures that an instance remembers: more than a day of releases in a large fleet.
 # Each is for news that comes late: by a list that lags, or by a link after a cut.
-MOST_DEPARTURES = 4096
+MAX_DEPARTURES = 4096
 # For which the limit of one that has left is kept, in seconds: longer than a row takes
 # to come back that lapsed in an outage of the store.
 LIMIT_KEPT_SECONDS = 60.0
@@ -65,15 +65,16 @@
         """Return all that are known."""
         return list(self._known.values())
 
-    def list_left(self) -> list[str]:
+    def list_departed(self) -> list[str]:
         """Return the names of those that get no new work any more."""
         now = self._clock()
-        return [one.name for one in self._known.values() if one.has_left(now)]
+        return [one.name for one in self._known.values() if one.has_departed(now)]
 
     def count_present(self) -> int:
         """Return how many are listed and not leaving."""
         return sum(
-            not one.leaving and one.vanished is None for one in self._known.values()
+            not one.leaving and one.missing_since is None
+            for one in self._known.values()
         )
 
     def count_backing_off(self) -> int:
@@ -95,8 +96,8 @@
 
     def find_listed(self, row: str) -> KnownUpstream | None:
         """Return the life that a row was last known to name."""
-        life = self._listed.get(row)
-        return None if life is None else self._known.get(life)
+        incarnation = self._listed.get(row)
+        return None if incarnation is None else self._known.get(incarnation)
 
     def departures(self) -> list[Departure]:
         """Return what is known of those that leave, the newest last."""
@@ -111,37 +112,43 @@
 
         Most rows are heartbeats, which only prove that the upstream lives.
         """
-        name, life = record.name, record.life
+        name, incarnation = record.name, record.incarnation
         if record.leaving:
             self.note_leaving(name, record.born)
         listed = self.find_listed(name)
-        if listed is not None and listed.name != life:
+        if listed is not None and listed.name != incarnation:
             if listed.version >= version:
                 return None
             # Also by a row that is gone by now: it shows that another life began.
-            self._end_life(listed)
+            self._end_incarnation(listed)
         if self._removed.get(name, 0) >= version:
             return None
-        known = self._known.get(life)
-        if known is not None and known.version >= version and known.vanished is None:
+        known = self._known.get(incarnation)
+        if (
+            known is not None
+            and known.version >= version
+            and known.missing_since is None
+        ):
             return None
-        departure = self._departures.get(life)
+        departure = self._departures.get(incarnation)
         if departure is not None and departure.version is not None:
             # It had only lapsed.
-            del self._departures[life]
+            del self._departures[incarnation]
             departure = None
-        is_news = known is None or known.vanished is not None or known.record != record
+        is_news = (
+            known is None or known.missing_since is not None or known.record != record
+        )
         is_written = known is None or known.version < version
         if known is None:
-            known = self._known[life] = KnownUpstream(record, version)
+            known = self._known[incarnation] = KnownUpstream(record, version)
         if is_written and not record.leaving:
             known.note_written(self._confirmed())
         if listed is not None and listed is not known:
             known.doubt(listed)
-        self._listed[name] = life
+        self._listed[name] = incarnation
         known.record = record
         known.version = version
-        known.vanished = None
+        known.missing_since = None
         known.expires = None
         known.leaving = known.leaving or departure is not None
         known.note_cold(record.cold, self._clock())
@@ -156,10 +163,10 @@
     def _remove(self, name: str, version: int) -> KnownUpstream | None:
         self._note_removed(name, version)
         known = self.find_listed(name)
-        if known is None or known.version > version or known.vanished is not None:
+        if known is None or known.version > version or known.missing_since is not None:
             return None
         now = self._clock()
-        known.vanished = now
+        known.missing_since = now
         known.expires = self._watch.plan_expiry(now)
         if self._watch.is_departure(now):
             self._remember(Departure(name, version, known.record.born))
@@ -176,8 +183,8 @@
         if known is None or known.version > version:
             return None
         now = self._clock()
-        is_news = not known.has_left(now)
-        known.vanished = known.vanished or now
+        is_news = not known.has_departed(now)
+        known.missing_since = known.missing_since or now
         known.expires = now
         return known if is_news else None
 
@@ -191,30 +198,30 @@
         :returns: those of which it says something new
         """
         changed = [self.put(record, version) for record, version in records.values()]
-        for name, life in list(self._listed.items()):
-            if name not in records and self._known[life].version <= at:
+        for name, incarnation in list(self._listed.items()):
+            if name not in records and self._known[incarnation].version <= at:
                 changed.append(self._remove(name, at))
         self._forget_departed()
         return [one for one in changed if one is not None]
 
-    def note_followed(self) -> None:
+    def note_synced(self) -> None:
         """Learn that the list is being followed, also after an interruption."""
         now = self._clock()
         self._watch.begin(now)
         for known in self._known.values():
-            if known.vanished is not None and known.expires is None:
+            if known.missing_since is not None and known.expires is None:
                 known.expires = self._watch.plan_expiry(now)
 
-    def note_lost(self) -> None:
+    def note_disconnected(self) -> None:
         """Learn that the list cannot be followed.
 
         What lapsed shortly before may still be there: it had no time to come back.
         """
         now = self._clock()
         self._watch.interrupt(now)
-        for life, known in self._known.items():
+        for incarnation, known in self._known.items():
             pending = known.expires is not None and known.expires > now
-            if pending and life not in self._departures:
+            if pending and incarnation not in self._departures:
                 known.expires = None
 
     def note_leaving(self, name: str, born: int | None = None) -> bool:
@@ -223,15 +230,17 @@
         It is kept for lives that are not known yet: a list that lags may bring them.
         """
         departure = Departure(name, None, born)
-        if self._departures.get(departure.life) == departure:
+        if self._departures.get(departure.incarnation) == departure:
             return False
         self._remember(departure)
-        known = self._known.get(departure.life)
+        known = self._known.get(departure.incarnation)
         if known is not None:
             known.leaving = True
         return True
 
-    def note_said_leaving(self, upstream: KnownUpstream, reached_by: float) -> bool:
+    def note_announced_leaving(
+        self, upstream: KnownUpstream, reached_by: float
+    ) -> bool:
         """Note that an answer of an upstream says that it leaves.
 
         :param reached_by: by when the request had reached it, in seconds
@@ -275,27 +284,27 @@
         if later is not None and later is not upstream:
             later.doubt(upstream)
 
-    def hear(self, departure: Departure) -> bool:
+    def receive(self, departure: Departure) -> bool:
         """Take in what another instance knows; tell whether that is new."""
         if departure.version is None:
             return self.note_leaving(departure.name, departure.born)
-        known = self._known.get(departure.life)
+        known = self._known.get(departure.incarnation)
         if known is not None and known.version > departure.version:
             return False
         self._note_removed(departure.name, departure.version)
-        if departure.life in self._departures:
+        if departure.incarnation in self._departures:
             return False
         self._remember(departure)
         if known is not None:
             now = self._clock()
-            known.vanished = known.vanished or now
-            known.expires = min(now + VANISHED_SECONDS, known.expires or math.inf)
+            known.missing_since = known.missing_since or now
+            known.expires = min(now + MISSING_GRACE_SECONDS, known.expires or math.inf)
         return True
 
     def forget_instance(self, instance: str) -> None:
         """Forget what another instance has waiting, since it cannot be heard."""
         for known in self._known.values():
-            known.prompts.hear(instance, 0)
+            known.prompts.receive(instance, 0)
 
     def candidates(self, service: str) -> list[KnownUpstream]:
         """Return those that may get new work; none of an emptied domain may.
@@ -305,15 +314,15 @@
         and until they are taken to have left.
         """
         now = self._clock()
-        emptied = self.evacuations.emptied
+        evacuated = self.evacuations.evacuated
         of_service = [
             one
             for one in self._known.values()
             if one.record.service == service
-            and one.record.domain not in emptied
-            and not one.has_left(now)
+            and one.record.domain not in evacuated
+            and not one.has_departed(now)
         ]
-        present = [one for one in of_service if one.vanished is None]
+        present = [one for one in of_service if one.missing_since is None]
         return present or of_service
 
     def note_taken_back(self, domain: str, cold: Callable[[str], float]) -> None:
@@ -335,15 +344,15 @@
         _drop_oldest(self._removed)
 
     def _remember(self, departure: Departure) -> None:
-        before = self._departures.pop(departure.life, departure)
+        before = self._departures.pop(departure.incarnation, departure)
         final = before.version is None
-        self._departures[departure.life] = before if final else departure
+        self._departures[departure.incarnation] = before if final else departure
         _drop_oldest(self._departures)
 
-    def _end_life(self, known: KnownUpstream) -> None:
+    def _end_incarnation(self, known: KnownUpstream) -> None:
         """Take in that another life of an upstream has begun."""
         self.note_leaving(known.record.name, known.record.born)
-        known.vanished = known.vanished or self._clock()
+        known.missing_since = known.missing_since or self._clock()
 
     def _forget_departed(self) -> None:
         """Drop those that have left and run nothing of this instance any more.
@@ -353,7 +362,7 @@
         """
         now = self._clock()
         for name, known in list(self._known.items()):
-            is_gone = known.vanished is not None and known.has_left(now)
+            is_gone = known.missing_since is not None and known.has_departed(now)
             said_lately = known.in_backoff(now) or (
                 known.is_limited() and known.limit.age(now) < LIMIT_KEPT_SECONDS
             )
@@ -365,5 +374,5 @@
 
 def _drop_oldest(entries: dict[str, Any]) -> None:
     """Keep no more than are ever asked for again."""
-    if len(entries) > MOST_DEPARTURES:
+    if len(entries) > MAX_DEPARTURES:
         del entries[next(iter(entries))]
--- a/packages/pondquay/src/pondquay/routing/domainreach.py
+++ b/packages/pondquay/src/pondquay/routing/domainreach.py
@@ -11,10 +11,10 @@
 # Upstreams of a domain that fail in a row, with nothing heard from any, for the domain
 # to count as dark. One alone is often a single crash: a sixth of a service's upstreams
 # may be down at the same time in an ordinary fault.
-DARK_UPSTREAMS = 2
+UNREACHABLE_UPSTREAMS = 2
 # Seconds after the last failure for which a dark domain is left to others. Then it is
 # tried again, at the price of half a second of one or two callers.
-DARK_SECONDS = 1.0
+UNREACHABLE_SECONDS = 1.0
 
 
 class DomainReach:
@@ -29,14 +29,14 @@
         self._failed.setdefault(domain, set()).add(upstream)
         self._failed_at[domain] = now
 
-    def note_heard(self, domain: str) -> None:
+    def note_response(self, domain: str) -> None:
         """Note that an upstream of the domain has said something."""
         if domain in self._failed:
             del self._failed[domain]
 
-    def is_dark(self, domain: str, now: float) -> bool:
+    def is_unreachable(self, domain: str, now: float) -> bool:
         """Tell whether the domain should be left to others for the moment."""
         failed = self._failed.get(domain)
-        if failed is None or len(failed) < DARK_UPSTREAMS:
+        if failed is None or len(failed) < UNREACHABLE_UPSTREAMS:
             return False
-        return now < self._failed_at[domain] + DARK_SECONDS
+        return now < self._failed_at[domain] + UNREACHABLE_SECONDS
--- a/packages/pondquay/src/pondquay/routing/evacuations.py
+++ b/packages/pondquay/src/pondquay/routing/evacuations.py
@@ -19,16 +19,16 @@
     """News of one failure domain.
 
     :param version: of the table, at which the row was written or was gone
-    :param emptied: whether the domain is emptied, or was taken back
+    :param evacuated: whether the domain is emptied, or was taken back
     """
 
     domain: str
     version: int
-    emptied: bool
+    evacuated: bool
 
 
 @dataclass(frozen=True, slots=True)
-class _Heard:
+class _ReceivedUpdate:
     news: Evacuation
     at: float
 
@@ -41,49 +41,49 @@
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self._clock = clock
-        self._heard: dict[str, _Heard] = {}
-        self._emptied: frozenset[str] = frozenset()
+        self._updates: dict[str, _ReceivedUpdate] = {}
+        self._evacuated: frozenset[str] = frozenset()
         # Up to this version the table is known as a whole, so older news of any domain
         # has been overtaken: also of one that a list before that had lacked as well.
         self._read_at = 0
 
     @property
-    def emptied(self) -> frozenset[str]:
+    def evacuated(self) -> frozenset[str]:
         """The domains whose upstreams get no new work."""
-        return self._emptied
+        return self._evacuated
 
     @property
     def version(self) -> int:
         """The newest version at which a domain was emptied or taken back, or 0."""
-        return max((one.news.version for one in self._heard.values()), default=0)
+        return max((one.news.version for one in self._updates.values()), default=0)
 
     def news(self) -> list[Evacuation]:
         """Return the newest news of each domain."""
-        return [one.news for one in self._heard.values()]
+        return [one.news for one in self._updates.values()]
 
     def take(self, news: Evacuation) -> bool:
         """Take in news; tell whether it is newer than what was known."""
-        before = self._heard.get(news.domain)
+        before = self._updates.get(news.domain)
         known = 0 if before is None else before.news.version
         if news.version <= max(known, self._read_at):
             return False
-        self._heard[news.domain] = _Heard(news, self._clock())
-        self._emptied = frozenset(
-            one.news.domain for one in self._heard.values() if one.news.emptied
+        self._updates[news.domain] = _ReceivedUpdate(news, self._clock())
+        self._evacuated = frozenset(
+            one.news.domain for one in self._updates.values() if one.news.evacuated
         )
         return True
 
-    def replace(self, emptied: Mapping[str, int], at: int) -> list[Evacuation]:
+    def replace(self, evacuated: Mapping[str, int], at: int) -> list[Evacuation]:
         """Take in all rows as they stood at some version, perhaps an old one.
 
-        :param emptied: for each emptied domain the version of its row
+        :param evacuated: for each emptied domain the version of its row
         :returns: what of it is new here
         """
-        found = [Evacuation(name, version, True) for name, version in emptied.items()]
+        found = [Evacuation(name, version, True) for name, version in evacuated.items()]
         found += [
             Evacuation(name, at, False)
-            for name, heard in self._heard.items()
-            if heard.news.emptied and name not in emptied
+            for name, update in self._updates.items()
+            if update.news.evacuated and name not in evacuated
         ]
         changed = [one for one in found if self.take(one)]
         self._read_at = max(self._read_at, at)
@@ -94,6 +94,6 @@
         now = self._clock()
         return ",".join(
             f"{one.news.domain}@{one.news.version}+{now - one.at:.1f}s"
-            for one in self._heard.values()
-            if one.news.emptied
+            for one in self._updates.values()
+            if one.news.evacuated
         )
--- a/packages/pondquay/src/pondquay/routing/issuers.py
+++ b/packages/pondquay/src/pondquay/routing/issuers.py
@@ -28,7 +28,7 @@
 # long before, in seconds.
 EARLY_SECONDS = 2.0
 # Instances of another domain that are tried before the domain counts as out of reach.
-MOST_SPEAKERS = 3
+MAX_SPEAKERS = 3
 # A wish for a link is forgotten if it is not repeated for this long, in seconds; few
 # requests may come for a limited upstream.
 WISH_SECONDS = 30.0
@@ -62,7 +62,7 @@
         if lost_at is None or now - lost_at >= TAKEOVER_SECONDS:
             self._linked_at[peer] = now
 
-    def note_lost(self, peer: str) -> None:
+    def note_disconnected(self, peer: str) -> None:
         """Learn that a peer cannot be asked any more."""
         if peer in self._linked_at and peer not in self._lost_at:
             self._lost_at[peer] = self._clock()
@@ -85,7 +85,7 @@
         lost_at = self._lost_at.get(peer)
         return lost_at is not None and self._clock() - lost_at < TAKEOVER_SECONDS
 
-    def wish_for(self, peer: str) -> bool:
+    def request_link(self, peer: str) -> bool:
         """Wish for a link to a peer; tell whether it may still come."""
         now = self._clock()
         since, last = self._wished.get(peer, (now, now))
@@ -94,7 +94,7 @@
         self._wished[peer] = (since, now)
         return now - since < TAKEOVER_SECONDS
 
-    def list_wished(self) -> frozenset[str]:
+    def list_requested(self) -> frozenset[str]:
         """Return the peers to which a link is wished for."""
         now = self._clock()
         for peer, (_, last) in list(self._wished.items()):
@@ -164,11 +164,11 @@
         for domain in order:
             if domain == self._domain:
                 return self._instance
-            speakers = ranks[domain][:MOST_SPEAKERS]
+            speakers = ranks[domain][:MAX_SPEAKERS]
             for name in speakers:
                 if self._peers.is_linked(name):
                     return name
-            if any([self._peers.wish_for(name) for name in speakers]):
+            if any([self._peers.request_link(name) for name in speakers]):
                 return None
         return None
 
--- a/packages/pondquay/src/pondquay/routing/knownupstreams.py
+++ b/packages/pondquay/src/pondquay/routing/knownupstreams.py
@@ -8,9 +8,9 @@
 
 from pondquay.routing.circuits import Circuit
 from pondquay.routing.pauses import PauseRecord
-from pondquay.routing.permitstock import PermitStock
+from pondquay.routing.permitstock import PermitCache
 from pondquay.routing.promptload import PromptLoad
-from pondquay.routing.ratelimits import NEVER_SAID, PermitIssuer, RateLimit
+from pondquay.routing.ratelimits import NEVER_REPORTED, PermitIssuer, RateLimit
 
 if TYPE_CHECKING:
     from pondquay.routing.upstreamrecords import UpstreamRecord
@@ -21,13 +21,13 @@
     """An upstream and what this instance has seen of it.
 
     :param version: of the list's row that the record is from
-    :param vanished: when its row was gone, in seconds
+    :param missing_since: when its row was gone, in seconds
     :param expires: when it is taken to have left since its row is gone, in seconds;
         ``None`` while its row may have lapsed for the store's sake
     :param running: requests of this instance that are there now
     :param prompts: what waits to be read there and what has been
     :param pauses: how long its streams pause while it reads prompts
-    :param heard: when anything last came from it, in seconds
+    :param last_seen_at: when anything last came from it, in seconds
     :param sent_at: when a request was last placed there, in seconds
     :param cold_until: until when it may be cold, in seconds
     :param backoff_until: until when it wants no request of this instance, in seconds
@@ -45,28 +45,28 @@
     record: UpstreamRecord
     version: int
     leaving: bool = False
-    vanished: float | None = None
+    missing_since: float | None = None
     expires: float | None = None
     running: int = 0
     prompts: PromptLoad = field(default_factory=PromptLoad)
     pauses: PauseRecord = field(default_factory=PauseRecord)
-    heard: float = 0.0
+    last_seen_at: float = 0.0
     sent_at: float | None = None
     cold_until: float = 0.0
     backoff_until: float = 0.0
-    limit: RateLimit = NEVER_SAID
+    limit: RateLimit = NEVER_REPORTED
     alive_at: float = -math.inf
     reached_by: float = -math.inf
     said_leaving_at: float = -math.inf
     doubted_since: float | None = None
     circuit: Circuit = field(default_factory=Circuit)
-    permits: PermitStock = field(default_factory=PermitStock)
+    permits: PermitCache = field(default_factory=PermitCache)
     issuer: PermitIssuer = field(default_factory=PermitIssuer)
 
     @property
     def name(self) -> str:
         """The name of this life of the upstream."""
-        return self.record.life
+        return self.record.incarnation
 
     def note_cold(self, seconds: float, now: float) -> None:
         """Learn that it may be cold for some more seconds.
@@ -91,9 +91,9 @@
         :returns: whether it is another limit than was known
         """
         known = self.limit
-        if limit.said_at < known.said_at:
+        if limit.reported_at < known.reported_at:
             return False
-        if asked_at < known.said_at and limit.allows_more(known):
+        if asked_at < known.reported_at and limit.allows_more(known):
             return False
         self.limit = limit
         if limit.rate == known.rate:
@@ -109,7 +109,7 @@
         """Tell whether it wants no request of this instance now."""
         return now < self.backoff_until
 
-    def has_left(self, now: float) -> bool:
+    def has_departed(self, now: float) -> bool:
         """Tell whether it gets no new work for good, or until a newer row comes."""
         if self.leaving or self.doubted_since is not None:
             return True
--- a/packages/pondquay/src/pondquay/routing/listwatch.py
+++ b/packages/pondquay/src/pondquay/routing/listwatch.py
@@ -5,7 +5,7 @@
 # Seconds for which an upstream whose row has vanished is still tried where no other is
 # left. It bridges a renewal that came late. One that left must get nothing new 2 s
 # after its row went, and up to 0.3 s of these pass until that is heard.
-VANISHED_SECONDS = 1.5
+MISSING_GRACE_SECONDS = 1.5
 # Seconds after the list can be followed again in which rows that lapsed for the store's
 # sake come back: the platform says about two.
 RETURN_SECONDS = 2.0
@@ -17,11 +17,11 @@
 class ListWatch:
     """Tells since when a list has been followed.
 
-    :ivar followed: whether it is being followed
+    :ivar synced: whether it is being followed
     """
 
     def __init__(self) -> None:
-        self.followed = False
+        self.synced = False
         self._since = 0.0
         self._lost_at: float | None = None
 
@@ -32,27 +32,27 @@
 
     def begin(self, now: float) -> None:
         """Learn that the list is being followed, also after an interruption."""
-        if self.followed:
+        if self.synced:
             return
         if self._lost_at is None or now - self._lost_at >= LAPSE_SECONDS:
             self._since = now
-        self.followed = True
+        self.synced = True
 
     def interrupt(self, now: float) -> None:
         """Learn that the list cannot be followed."""
-        if self.followed:
-            self.followed = False
+        if self.synced:
+            self.synced = False
             self._lost_at = now
 
-    def plan_expiry(self, vanished: float) -> float | None:
+    def plan_expiry(self, missing_since: float) -> float | None:
         """Return when an upstream has surely left whose row is gone since some time.
 
         :returns: ``None`` while its row may have lapsed for the store's sake
         """
-        if not self.followed:
+        if not self.synced:
             return None
-        return max(vanished + VANISHED_SECONDS, self.returned_by)
+        return max(missing_since + MISSING_GRACE_SECONDS, self.returned_by)
 
     def is_departure(self, now: float) -> bool:
         """Tell whether a row that goes now has not lapsed for the store's sake."""
-        return self.followed and now >= self.returned_by
+        return self.synced and now >= self.returned_by
--- a/packages/pondquay/src/pondquay/routing/pauses.py
+++ b/packages/pondquay/src/pondquay/routing/pauses.py
@@ -20,7 +20,7 @@
 # long prompts are kept away.
 BROKEN_PART = 0.15
 # Too long pauses that are needed for a verdict; one may be the network's.
-LEAST_BROKEN = 1.5
+MIN_BROKEN = 1.5
 
 
 @dataclass(slots=True)
@@ -51,7 +51,7 @@
     def breaks_streams(self, now: float) -> bool:
         """Tell whether long prompts here make the pauses of other streams too long."""
         self._fade(now)
-        return self.broken >= LEAST_BROKEN and self.broken >= BROKEN_PART * self.reading
+        return self.broken >= MIN_BROKEN and self.broken >= BROKEN_PART * self.reading
 
     def _fade(self, now: float) -> None:
         kept = 0.5 ** ((now - self._at) / HALF_LIFE_SECONDS)
--- a/packages/pondquay/src/pondquay/routing/permitstock.py
+++ b/packages/pondquay/src/pondquay/routing/permitstock.py
@@ -7,31 +7,38 @@
 
 # The shortest pause between two asks, in seconds; what is needed in it is asked for at
 # once.
-LEAST_PAUSE_SECONDS = 0.1
+MIN_PAUSE_SECONDS = 0.1
 # The time over which wishes are counted, in seconds.
 DEMAND_SECONDS = 1.0
 
 
-class PermitStock:
+class PermitCache:
     """Permits with the times until which they may be used.
 
-    :ivar ask_at: when more may be asked for, in seconds
+    :ivar next_request_at: when more may be asked for, in seconds
     :ivar source: the instance that was last asked, ``None`` if there was none to ask
     """
 
-    __slots__ = ("_demand", "_refused", "_until", "_wished_at", "ask_at", "source")
+    __slots__ = (
+        "_demand",
+        "_refused",
+        "_until",
+        "_wished_at",
+        "next_request_at",
+        "source",
+    )
 
     def __init__(self) -> None:
         self._until: deque[float] = deque()
         self._demand = 0.0
         self._wished_at = -math.inf
         self._refused = 0
-        self.ask_at = -math.inf
+        self.next_request_at = -math.inf
         self.source: str | None = None
 
-    def may_give(self, now: float) -> bool:
+    def can_supply(self, now: float) -> bool:
         """Tell whether there is a permit, or there may be one for the asking."""
-        return self.count(now) > 0 or now >= self.ask_at
+        return self.count(now) > 0 or now >= self.next_request_at
 
     def count(self, now: float) -> int:
         """Return how many permits there are."""
@@ -46,7 +53,7 @@
         self._until.popleft()
         return True
 
-    def note_wish(self, now: float) -> None:
+    def note_demand(self, now: float) -> None:
         """Count a request that would be sent to the upstream."""
         faded = math.exp((self._wished_at - now) / DEMAND_SECONDS)
         self._demand = self._demand * faded + 1.0
@@ -54,7 +61,7 @@
 
     def count_wanted(self) -> int:
         """Return how many permits to ask for."""
-        expected = self._demand / DEMAND_SECONDS * LEAST_PAUSE_SECONDS
+        expected = self._demand / DEMAND_SECONDS * MIN_PAUSE_SECONDS
         return max(1, math.ceil(expected))
 
     def add(self, count: int, until: float, pause: float, now: float) -> None:
@@ -64,7 +71,7 @@
         :param pause: seconds for which nothing should be asked
         """
         self._until.extend([until] * count)
-        self.ask_at = now + max(pause, LEAST_PAUSE_SECONDS)
+        self.next_request_at = now + max(pause, MIN_PAUSE_SECONDS)
         self._refused = 0
 
     def plan_return(self, now: float) -> float:
@@ -74,9 +81,9 @@
         one after the other.
         """
         self._refused += 1
-        pause = max(self.ask_at - now, LEAST_PAUSE_SECONDS)
+        pause = max(self.next_request_at - now, MIN_PAUSE_SECONDS)
         return pause * self._refused
 
     def reset(self) -> None:
         """Learn that the upstream names another limit now."""
-        self.ask_at = -math.inf
+        self.next_request_at = -math.inf
--- a/packages/pondquay/src/pondquay/routing/promptload.py
+++ b/packages/pondquay/src/pondquay/routing/promptload.py
@@ -16,7 +16,7 @@
     from pondquay.routing.prompts import PromptPart
 
 # Shared parts that an upstream is taken to keep; those used longest ago give way.
-MOST_PARTS = 64
+MAX_PARTS = 64
 
 
 @dataclass(slots=True)
@@ -36,7 +36,7 @@
         """Prompt tokens of all instances that wait to be read."""
         return self.own + sum(self.others.values())
 
-    def count_unread(self, prefix: Iterable[PromptPart]) -> int:
+    def count_uncached(self, prefix: Iterable[PromptPart]) -> int:
         """Return the tokens of a prompt that have to be read.
 
         A part counts as read only if every part before it does as well.
@@ -49,9 +49,9 @@
 
     def count_until_read(self, prefix: Iterable[PromptPart]) -> int:
         """Return the tokens to be read there before a prompt that comes now is."""
-        return self.waiting + self.count_unread(prefix)
+        return self.waiting + self.count_uncached(prefix)
 
-    def note_read(self, parts: Iterable[str]) -> list[str]:
+    def note_prefilled(self, parts: Iterable[str]) -> list[str]:
         """Note shared parts that have been read there, in the order of the prompt.
 
         :returns: those that were not known to be
@@ -62,11 +62,11 @@
                 new.append(part)
             self._read[part] = None
             self._read.move_to_end(part)
-        while len(self._read) > MOST_PARTS:
+        while len(self._read) > MAX_PARTS:
             self._read.popitem(last=False)
         return new
 
-    def hear(self, instance: str, tokens: int) -> None:
+    def receive(self, instance: str, tokens: int) -> None:
         """Take in what another instance has waiting there."""
         if tokens:
             self.others[instance] = tokens
--- a/packages/pondquay/src/pondquay/routing/ratelimits.py
+++ b/packages/pondquay/src/pondquay/routing/ratelimits.py
@@ -24,7 +24,7 @@
 # may want nothing then.
 TURNS_PER_PERMIT = 2.0
 # The longest pause of an instance between two asks, in seconds.
-MOST_PAUSE_SECONDS = 3.0
+MAX_PAUSE_SECONDS = 3.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,15 +32,15 @@
     """What an upstream last said of how much it takes.
 
     :param rate: requests a second, ``None`` if it named no limit
-    :param said_at: when its answer came, in seconds
+    :param reported_at: when its answer came, in seconds
     """
 
     rate: float | None
-    said_at: float
+    reported_at: float
 
     def age(self, now: float) -> float:
         """Return the seconds since it was said."""
-        return max(0.0, now - self.said_at)
+        return max(0.0, now - self.reported_at)
 
     def allows_more(self, other: RateLimit) -> bool:
         """Tell whether it allows more than another one."""
@@ -49,7 +49,7 @@
         return self.rate is None or self.rate > other.rate
 
 
-NEVER_SAID = RateLimit(None, -math.inf)
+NEVER_REPORTED = RateLimit(None, -math.inf)
 
 
 @dataclass(frozen=True, slots=True)
@@ -79,7 +79,7 @@
         # By instance; there are as many as instances of the fleet at most.
         self._asked_at: dict[str, float] = {}
 
-    def issue(self, asker: str, wanted: int, rate: float, now: float) -> Issued:
+    def issue(self, requester: str, wanted: int, rate: float, now: float) -> Issued:
         """Return permits for an instance, and when it should ask again.
 
         :param rate: requests a second that the upstream takes
@@ -92,24 +92,24 @@
         while count < wanted and self._due_at <= now + BURST_SECONDS:
             self._due_at = max(self._due_at, now) + interval
             count += 1
-        pause = self._plan_turn(asker, interval, now)
+        pause = self._plan_turn(requester, interval, now)
         if not count:
             pause = max(pause, self._due_at - BURST_SECONDS - now)
         return Issued(count, pause)
 
-    def _plan_turn(self, asker: str, interval: float, now: float) -> float:
+    def _plan_turn(self, requester: str, interval: float, now: float) -> float:
         """Return the seconds until it is an instance's turn to ask again.
 
         One that has a limit for itself asks as it likes. Turns are spread evenly, so
         that those that were refused together do not come again together.
         """
-        self._asked_at[asker] = now
+        self._asked_at[requester] = now
         for one, at in list(self._asked_at.items()):
             if now - at > ASKER_SECONDS:
                 del self._asked_at[one]
         if len(self._asked_at) == 1:
             return 0.0
         self._turn_at = max(self._turn_at, now) + interval / TURNS_PER_PERMIT
-        if self._turn_at - now > MOST_PAUSE_SECONDS:
+        if self._turn_at - now > MAX_PAUSE_SECONDS:
             self._turn_at = now + interval / TURNS_PER_PERMIT
-        return min(MOST_PAUSE_SECONDS, self._turn_at - now)
+        return min(MAX_PAUSE_SECONDS, self._turn_at - now)
--- a/packages/pondquay/src/pondquay/routing/rendezvous.py
+++ b/packages/pondquay/src/pondquay/routing/rendezvous.py
@@ -19,9 +19,9 @@
     from pondquay.routing.prompts import PromptPart
 
 # Requests of one instance at an upstream from which the next one in rank is taken.
-MOST_RUNNING_BY_PREFIX = 8
+MAX_RUNNING_BY_PREFIX = 8
 # Prompt tokens of all instances that wait there, from which the next one is taken.
-MOST_READING_TOKENS = 24_000
+MAX_READING_TOKENS = 24_000
 # Prompt tokens to be read from which a prompt counts as long. Engines read some
 # thousand between two tokens, and an event holds several tokens: a shorter prompt
 # cannot stretch a pause by much.
@@ -60,10 +60,10 @@
         key=lambda one: score_pair(shared, one.name),
         reverse=True,
     )
-    open_ones = [one for one in ranked if one.running < MOST_RUNNING_BY_PREFIX]
+    open_ones = [one for one in ranked if one.running < MAX_RUNNING_BY_PREFIX]
     if not open_ones:
         return min(ranked, key=lambda one: one.running)
-    if open_ones[0].prompts.waiting < MOST_READING_TOKENS:
+    if open_ones[0].prompts.waiting < MAX_READING_TOKENS:
         return open_ones[0]
     return min(open_ones, key=lambda one: one.prompts.count_until_read(prefix))
 
@@ -74,7 +74,7 @@
     """Tell whether reading a prompt there would break the streams that run there."""
     if not upstream.pauses.breaks_streams(now):
         return False
-    return upstream.prompts.count_unread(prefix) >= LONG_PROMPT_TOKENS
+    return upstream.prompts.count_uncached(prefix) >= LONG_PROMPT_TOKENS
 
 
 def choose_nearest(
--- a/packages/pondquay/src/pondquay/routing/retries.py
+++ b/packages/pondquay/src/pondquay/routing/retries.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 RETRY_RATIO = 0.1
-MOST_SAVED = 10.0
+MAX_SAVED = 10.0
 
 
 @dataclass(slots=True)
@@ -17,11 +17,11 @@
     """
 
     ratio: float = RETRY_RATIO
-    saved: float = MOST_SAVED
+    saved: float = MAX_SAVED
 
     def earn(self) -> None:
         """Note a first attempt."""
-        self.saved = min(MOST_SAVED, self.saved + self.ratio)
+        self.saved = min(MAX_SAVED, self.saved + self.ratio)
 
     def spend(self) -> bool:
         """Take one retry, if there is one."""
--- a/packages/pondquay/src/pondquay/routing/retryshares.py
+++ b/packages/pondquay/src/pondquay/routing/retryshares.py
@@ -20,7 +20,7 @@
 SAFETY = 0.75
 # The fixed number is divided among this many instances at least, and among more than
 # are known: some may be added or replaced.
-LEAST_SHARES = 16
+MIN_SHARES = 16
 SPARE_PART = 1.25
 
 
@@ -72,4 +72,4 @@
         instances = self._instances()
         if instances == 0:
             return 0.0
-        return self._extra / max(LEAST_SHARES, ceil(SPARE_PART * instances))
+        return self._extra / max(MIN_SHARES, ceil(SPARE_PART * instances))
--- a/packages/pondquay/src/pondquay/routing/upstreamrecords.py
+++ b/packages/pondquay/src/pondquay/routing/upstreamrecords.py
@@ -9,7 +9,7 @@
     from pondquay.addresses import Address
 
 
-def name_life(name: str, born: int | None) -> str:
+def name_incarnation(name: str, born: int | None) -> str:
     """Return what one life of an upstream is known by.
 
     An upstream may start again under its name. Nothing that was learnt of the life
@@ -40,9 +40,9 @@
     born: int | None = None
 
     @property
-    def life(self) -> str:
+    def incarnation(self) -> str:
         """The name of this life."""
-        return name_life(self.name, self.born)
+        return name_incarnation(self.name, self.born)
 
 
 @dataclass(frozen=True, slots=True)
@@ -60,6 +60,6 @@
     born: int | None = None
 
     @property
-    def life(self) -> str:
+    def incarnation(self) -> str:
         """The name of the life that it is about."""
-        return name_life(self.name, self.born)
+        return name_incarnation(self.name, self.born)
--- a/packages/pondquay/src/pondquay/streamevents.py
+++ b/packages/pondquay/src/pondquay/streamevents.py
@@ -6,7 +6,7 @@
 
 EVENT_END = b"\n\n"
 ID_FIELD = b"id:"
-MOST_PENDING_BYTES = 1 << 20
+MAX_PENDING_BYTES = 1 << 20
 
 
 class StreamOrderError(Exception):
@@ -46,7 +46,7 @@
         pending = self._pending + data
         end = pending.rfind(EVENT_END)
         if end < 0:
-            if len(pending) > MOST_PENDING_BYTES:
+            if len(pending) > MAX_PENDING_BYTES:
                 raise StreamOrderError("an event without an end")
             self._pending = pending
             return b""
--- a/packages/pondquay/src/pondquay/streams.py
+++ b/packages/pondquay/src/pondquay/streams.py
@@ -34,7 +34,7 @@
 
 
 @dataclass(slots=True)
-class Answer:
+class Response:
     """One answer as it comes in; frames of others, repeats and gaps are dropped.
 
     :param stream: the only stream whose frames belong to it
