--- a/packages/pondquay-daemon/src/pondquay_daemon/application.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/application.py
@@ -10,6 +10,7 @@
 from pondquay.configuration.entities import Budget
 from pondquay.membership.messages import FoundRequest, Heartbeat
 from pondquay.names import InstanceId
+from pondquay_daemon.components import InstanceComponents
 from pondquay_daemon.configuration import ConfigurationTask
 from pondquay_daemon.endpoints.callers import CallerEndpoint
 from pondquay_daemon.endpoints.metrics import MetricsEndpoint
@@ -19,7 +20,6 @@
 from pondquay_daemon.grants import GrantTask
 from pondquay_daemon.logs import Level, log_event
 from pondquay_daemon.metrics import Metrics
-from pondquay_daemon.parts import InstanceComponents
 from pondquay_daemon.peers import PeerListener, PeerTask
 from pondquay_daemon.platform import Platform
 from pondquay_daemon.recovery import Recovery
--- a/packages/pondquay-daemon/src/pondquay_daemon/endpoints/callers.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/endpoints/callers.py
@@ -19,18 +19,6 @@
     PlainCall,
     Refusal,
 )
-from pondquay_daemon.endpoints.answers import (
-    BAD_REQUEST,
-    NOT_FOUND,
-    TOO_LARGE,
-    UNAUTHORIZED,
-    UNAVAILABLE,
-    digest_key,
-    read_bearer,
-    read_json,
-    write_error,
-    write_json,
-)
 from pondquay_daemon.endpoints.completions import (
     BILLED_HEADER,
     OUTCOME_HEADER,
@@ -47,6 +35,18 @@
     digest_content,
     name_prefix,
 )
+from pondquay_daemon.endpoints.responses import (
+    BAD_REQUEST,
+    NOT_FOUND,
+    TOO_LARGE,
+    UNAUTHORIZED,
+    UNAVAILABLE,
+    digest_key,
+    read_bearer,
+    read_json,
+    write_error,
+    write_json,
+)
 from pondquay_daemon.services import ServiceCall
 
 if TYPE_CHECKING:
--- a/packages/pondquay-daemon/src/pondquay_daemon/endpoints/completions.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/endpoints/completions.py
@@ -7,7 +7,7 @@
 
 from pondquay.requests.lifecycle import Outcome
 from pondquay_daemon.calls import CompletionCall, Delivered, FrameSink, Refusal
-from pondquay_daemon.endpoints.answers import write_error, write_json
+from pondquay_daemon.endpoints.responses import write_error, write_json
 
 if TYPE_CHECKING:
     from collections.abc import Callable
--- a/packages/pondquay-daemon/src/pondquay_daemon/endpoints/dumps.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/endpoints/dumps.py
@@ -7,7 +7,7 @@
 if TYPE_CHECKING:
     from pondquay.budgets.holdings import Holding
     from pondquay.budgets.witness import WitnessedGrant
-    from pondquay_daemon.parts import InstanceComponents
+    from pondquay_daemon.components import InstanceComponents
 
 MAX_ITEMS = 500
 
--- a/packages/pondquay-daemon/src/pondquay_daemon/endpoints/metrics.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/endpoints/metrics.py
@@ -7,12 +7,12 @@
 from klein import Klein
 from prometheus_client import CONTENT_TYPE_LATEST, generate_latest
 
-from pondquay_daemon.endpoints.answers import UNAVAILABLE, write_json
+from pondquay_daemon.endpoints.responses import UNAVAILABLE, write_json
 
 if TYPE_CHECKING:
     from twisted.web.server import Request
 
-    from pondquay_daemon.parts import InstanceComponents
+    from pondquay_daemon.components import InstanceComponents
 
 
 class MetricsEndpoint:
--- a/packages/pondquay-daemon/src/pondquay_daemon/endpoints/operators.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/endpoints/operators.py
@@ -29,7 +29,8 @@
 from pondquay.errors import InvalidInputError
 from pondquay.membership.drains import store_drain
 from pondquay.tables import Lost, Unreachable, read_rows
-from pondquay_daemon.endpoints.answers import (
+from pondquay_daemon.endpoints.dumps import dump_state
+from pondquay_daemon.endpoints.responses import (
     BAD_REQUEST,
     CONFLICT,
     FORBIDDEN,
@@ -43,7 +44,6 @@
     write_error,
     write_json,
 )
-from pondquay_daemon.endpoints.dumps import dump_state
 from pondquay_daemon.logs import log_event
 
 if TYPE_CHECKING:
@@ -52,7 +52,7 @@
     from twisted.web.server import Request
 
     from pondquay.configuration.programs import ConfirmOutcome
-    from pondquay_daemon.parts import InstanceComponents
+    from pondquay_daemon.components import InstanceComponents
 
 PLAN_BYTES = 5
 ACCEPTED = 202
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/contacts.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/contacts.py
@@ -11,9 +11,9 @@
 
 if TYPE_CHECKING:
     from pondquay.routing.knownupstreams import KnownUpstream
+    from pondquay_daemon.relay.components import RelayComponents
     from pondquay_daemon.relay.messages import UpstreamSignals
-    from pondquay_daemon.relay.parts import RelayComponents
-    from pondquay_daemon.relay.readings import Prefill
+    from pondquay_daemon.relay.prefills import Prefill
 
 
 # Where the news came from, for the logs.
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/readings.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/prefills.py
@@ -11,7 +11,7 @@
 
     from pondquay.routing.knownupstreams import KnownUpstream
     from pondquay.routing.prompts import PromptPart
-    from pondquay_daemon.relay.parts import RelayComponents
+    from pondquay_daemon.relay.components import RelayComponents
 
 
 class Prefill:
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/relay.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/relay.py
@@ -23,6 +23,7 @@
     send_refusal,
 )
 from pondquay_daemon.relay.allotmentrows import TABLE as ALLOTMENTS
+from pondquay_daemon.relay.components import RelayComponents
 from pondquay_daemon.relay.crashrows import CrashRows
 from pondquay_daemon.relay.crashwatch import CrashWatch
 from pondquay_daemon.relay.egress import EgressPool
@@ -33,7 +34,6 @@
 from pondquay_daemon.relay.member import Member
 from pondquay_daemon.relay.members import TABLE as MEMBERS
 from pondquay_daemon.relay.members import MemberList
-from pondquay_daemon.relay.parts import RelayComponents
 from pondquay_daemon.relay.peernews import FROM_STORE, PeerNews
 from pondquay_daemon.relay.peers import PeerMesh
 from pondquay_daemon.relay.permitlinks import PermitLinks
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/requests.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/requests.py
@@ -37,9 +37,9 @@
     from pondquay.routing.knownupstreams import KnownUpstream
     from pondquay_daemon.relay.admission import Admission
     from pondquay_daemon.relay.attempts import Outcome
+    from pondquay_daemon.relay.components import RelayComponents
     from pondquay_daemon.relay.ingress import CallerResponse
     from pondquay_daemon.relay.messages import RequestHead
-    from pondquay_daemon.relay.parts import RelayComponents
 
 SERVER_ERROR = 500
 BAD_GATEWAY = 502
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/retrying.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/retrying.py
@@ -9,7 +9,7 @@
 if TYPE_CHECKING:
     from collections.abc import Collection
 
-    from pondquay_daemon.relay.parts import RelayComponents
+    from pondquay_daemon.relay.components import RelayComponents
 
 
 class RetryPermit:
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/sending.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/sending.py
@@ -11,7 +11,7 @@
 from pondquay_daemon.relay.heads import drop_connection_headers
 from pondquay_daemon.relay.messages import Dispatch
 from pondquay_daemon.relay.permits import WAIT_SECONDS, describe_rate
-from pondquay_daemon.relay.readings import Prefill
+from pondquay_daemon.relay.prefills import Prefill
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -19,9 +19,9 @@
     from pondquay.routing.knownupstreams import KnownUpstream
     from pondquay_daemon.relay.admission import Admission
     from pondquay_daemon.relay.attempts import Outcome, StreamProgress
+    from pondquay_daemon.relay.components import RelayComponents
     from pondquay_daemon.relay.ingress import CallerResponse
     from pondquay_daemon.relay.messages import RequestHead
-    from pondquay_daemon.relay.parts import RelayComponents
     from pondquay_daemon.relay.placement import NoUpstream
 
 # An upstream that says nothing for this many objectives is given up, where the request
--- a/packages/pondquay-daemon/tests/relay/test_alike_upstreams.py
+++ b/packages/pondquay-daemon/tests/relay/test_alike_upstreams.py
@@ -10,8 +10,8 @@
 from collections import Counter
 from typing import TYPE_CHECKING
 
-from .answering import HOSTS, PORT, RespondingUpstreams
 from .conftest import RelaySide
+from .responding import HOSTS, PORT, RespondingUpstreams
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
--- a/packages/pondquay-daemon/tests/relay/test_leaving_in_answers.py
+++ b/packages/pondquay-daemon/tests/relay/test_leaving_in_responses.py
@@ -13,8 +13,8 @@
 
 from __future__ import annotations
 
-from .answering import HELD, HOSTS, PORT, RespondingUpstreams
 from .conftest import RelaySide
+from .responding import HELD, HOSTS, PORT, RespondingUpstreams
 
 LEAVING = b"leaving: 1\r\n"
 SERVED = b"HTTP/1.1 200"
--- a/packages/pondquay-daemon/tests/relay/test_limited_upstreams.py
+++ b/packages/pondquay-daemon/tests/relay/test_limited_upstreams.py
@@ -25,8 +25,8 @@
 )
 from pondquay_daemon.relay.permits import WAIT_SECONDS
 
-from .answering import HELD, HOSTS, PORT, RespondingUpstreams
 from .conftest import STEP_SECONDS, RelaySide
+from .responding import HELD, HOSTS, PORT, RespondingUpstreams
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
