--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/accounts.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/accounts.py
@@ -6,7 +6,7 @@
 
 from twisted.internet.defer import Deferred, gatherResults
 
-from pondquay.budgets.accounts import Account, Refused
+from pondquay.budgets.accounts import Account, RefusalReason
 from pondquay.budgets.allotments import AllotmentRow
 from pondquay.budgets.headroom import plan_headroom, request_tokens
 from pondquay.errors import MalformedRowError
@@ -121,7 +121,7 @@
 
     async def obtain(
         self, request: str, workspace: str, tokens: int, patience: float
-    ) -> Refused | None:
+    ) -> RefusalReason | None:
         """Reserve tokens, asking the table for more if need be.
 
         :param request: who asks, for the logs
@@ -133,7 +133,7 @@
         refused = account.reserve(tokens)
         until = self.clock.seconds() + patience
         for wait in OBTAIN_WAITS if self._loans.lends(workspace) else ():
-            if refused in (None, Refused.EXHAUSTED) or not self._reachable():
+            if refused in (None, RefusalReason.EXHAUSTED) or not self._reachable():
                 break
             if self.clock.seconds() + wait > until:
                 break
@@ -141,25 +141,25 @@
             self._adjust_soon(workspace)
             await sleep(wait, self.clock)
             refused = account.reserve(tokens)
-        account.wanted = 0
+        account.requested = 0
         if refused is not None:
             refused = await self._loans.borrow(account, workspace, tokens)
-        if refused is Refused.ELSEWHERE and not self._reachable():
-            refused = Refused.OUT_OF_REACH
+        if refused is RefusalReason.ELSEWHERE and not self._reachable():
+            refused = RefusalReason.OUT_OF_REACH
         self._log_obtained(request, workspace, account, tokens, refused)
         self._adjust_soon(workspace)
         return refused
 
-    def come_back_after(self, refused: Refused) -> float:
+    def come_back_after(self, refused: RefusalReason) -> float:
         """Return the seconds after which a refused caller should ask again.
 
         An instance that knows nothing yet of a budget has just started, perhaps with
         all others: until links stand, nobody lends.
         """
         soon = self._policy.come_back_seconds
-        if refused is Refused.OUT_OF_REACH:
+        if refused is RefusalReason.OUT_OF_REACH:
             return AFTER_OUTAGE
-        if refused is Refused.UNKNOWN:
+        if refused is RefusalReason.UNKNOWN:
             return max(soon, self._settled_at - self.clock.seconds())
         return soon
 
@@ -169,7 +169,7 @@
         workspace: str,
         account: Account,
         tokens: int,
-        refused: Refused | None,
+        refused: RefusalReason | None,
     ) -> None:
         """Tell what decided whether a request got its tokens."""
         if refused is not None:
@@ -185,7 +185,7 @@
             ceiling=account.ceiling,
             reserved=account.reserved,
             free=account.free(),
-            left=account.left(),
+            left=account.remaining(),
             row=account.version or ABSENT,
             store="up" if self._reachable() else "away",
         )
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/loans.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/loans.py
@@ -20,7 +20,7 @@
 
     from twisted.internet.interfaces import IReactorTime
 
-    from pondquay.budgets.accounts import Account, Refused
+    from pondquay.budgets.accounts import Account, RefusalReason
     from pondquay.policy import RelayPolicy
 
 MAX_LENDERS = 8
@@ -105,7 +105,7 @@
 
     async def borrow(
         self, account: Account, workspace: str, tokens: int
-    ) -> Refused | None:
+    ) -> RefusalReason | None:
         """Borrow what lacks for a request and reserve it.
 
         :returns: why not, ``None`` if it is reserved
@@ -173,7 +173,7 @@
 
     async def _ask_all(
         self, account: Account, workspace: str, tokens: int, ahead: int
-    ) -> Refused | None:
+    ) -> RefusalReason | None:
         refused = account.reserve(tokens)
         for peer in self._rank(account, workspace):
             if refused is None:
--- a/packages/pondquay-lab/src/pondquay_lab/slopes.py
+++ b/packages/pondquay-lab/src/pondquay_lab/slopes.py
@@ -87,7 +87,7 @@
 
 def build_attempts(count: int) -> tuple[Holder, Witness]:
     """Reserve, tell the witness, and have acknowledged as many attempts."""
-    holder, witness = Holder(ME), Witness(most_open=10 * COUNT)
+    holder, witness = Holder(ME), Witness(max_open=10 * COUNT)
     holding = holder.open("workspace", PEER)
     holder.set_amount(holding.id, 10**9)
     for number in range(count):
