--- a/packages/pondquay/src/pondquay/budgets/__init__.py
+++ b/packages/pondquay/src/pondquay/budgets/__init__.py
@@ -1,4 +1,4 @@
-"""Prepaid budgets: grants, the witnesses of grants, and their rows in the table."""
+"""Prepaid budgets: grants with their witnesses, allotments, and their stored rows."""
 
 from __future__ import annotations
 
--- a/packages/pondquay/src/pondquay/budgets/accounts.py
+++ b/packages/pondquay/src/pondquay/budgets/accounts.py
@@ -1,4 +1,4 @@
-"""An instance's account of one workspace's prepaid tokens, below its allotment."""
+"""Local accounting of a workspace's prepaid tokens within an instance's allotment."""
 
 from __future__ import annotations
 
@@ -15,80 +15,83 @@
 
     from pondquay.policy import RelayPolicy
 
+# Time constant of the exponential average of the demand.
 RATE_SECONDS = 8.0
-# A request is small that needs this part of the prepaid tokens at most. The last ones
-# are kept for these: they answer more callers than few large requests would, when after
-# a loss of all instances hardly anything is left.
-SMALL_PART = 0.01
+# Requests of at most this fraction of the prepaid tokens are small: they may use the
+# tokens that are withheld from larger ones.
+SMALL_REQUEST_FRACTION = 0.01
+# Shortest time that a rate is averaged over.
 MIN_AGE_SECONDS = 2.0
-# Part of what a lender has left that a borrower may get beyond its need.
-AHEAD_PART = 0.25
+# Fraction of a lender's spare tokens that a borrower may get beyond its need.
+LOAN_HEADROOM_FRACTION = 0.25
 
 
 class RefusalReason(StrEnum):
-    """Why tokens could not be reserved.
+    """Reason why tokens could not be reserved.
 
-    ``EXHAUSTED`` is said only where the row shows that no instance can have them;
-    ``OUT_OF_REACH`` where the table that may have them does not answer, ``KEPT`` where
-    they are here and are the last ones, which only small requests get.
+    ``EXHAUSTED``: the row shows that no instance can have enough of them;
+    ``ELSEWHERE``: the row or other instances may have them;
+    ``UNKNOWN``: the row has not been read yet;
+    ``OUT_OF_REACH``: the table may have them, but is unreachable;
+    ``KEPT_FOR_SMALL``: they are here, but withheld from all but small requests.
     """
 
     EXHAUSTED = "exhausted"
     ELSEWHERE = "elsewhere"
     UNKNOWN = "unknown"
     OUT_OF_REACH = "out-of-reach"
-    KEPT = "kept-for-small"
+    KEPT_FOR_SMALL = "kept-for-small"
 
 
 @dataclass(slots=True)
 class Demand:
-    """How many tokens a second are asked for, as an exponential average.
+    """Exponential average of the tokens requested per second.
 
     :param largest: tokens of the largest request
     """
 
     largest: int = 0
     _sum: float = 0.0
-    _at: float = 0.0
-    _began: float | None = None
+    _updated_at: float = 0.0
+    _started_at: float | None = None
 
     def note(self, tokens: int, now: float) -> None:
-        """Note a request."""
+        """Record a request."""
         self.note_lent(tokens, now)
         self.largest = max(self.largest, tokens)
 
     def note_lent(self, tokens: int, now: float) -> None:
-        """Note tokens that another instance asked for, for several requests."""
-        if self._began is None:
-            self._began = now
+        """Record tokens that another instance borrowed, for one or more requests."""
+        if self._started_at is None:
+            self._started_at = now
         self._sum = self._sum_at(now) + tokens
-        self._at = now
+        self._updated_at = now
 
     def note_returned(self, tokens: int, now: float) -> None:
-        """Note that tokens came back that were noted as lent and not used."""
+        """Record that lent tokens were returned unused."""
         self._sum = max(0.0, self._sum_at(now) - tokens)
-        self._at = now
+        self._updated_at = now
 
     def rate(self, now: float) -> float:
-        """Return tokens a second; a short past is not taken for a low rate."""
-        if self._began is None:
+        """Return tokens per second, averaged only since the first request."""
+        if self._started_at is None:
             return 0.0
-        age = max(MIN_AGE_SECONDS, now - self._began)
+        age = max(MIN_AGE_SECONDS, now - self._started_at)
         return self._sum_at(now) / (RATE_SECONDS * (1 - exp(-age / RATE_SECONDS)))
 
     def mean_rate(self, now: float) -> float:
-        """Return tokens a second as if there had been none before the first request."""
-        return 0.0 if self._began is None else self._sum_at(now) / RATE_SECONDS
+        """Return tokens per second, counting no demand before the first request."""
+        return 0.0 if self._started_at is None else self._sum_at(now) / RATE_SECONDS
 
     def _sum_at(self, now: float) -> float:
-        return self._sum * exp((self._at - now) / RATE_SECONDS)
+        return self._sum * exp((self._updated_at - now) / RATE_SECONDS)
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """A new row that an instance wants to write.
+    """A new version of the row to write.
 
-    :param ceiling: its own ceiling in it
+    :param ceiling: the ceiling of the writing instance in this row
     """
 
     row: AllotmentRow
@@ -97,17 +100,19 @@
 
 @dataclass(slots=True)
 class Account:
-    """What one life of an instance may spend, has spent and has reserved.
-
-    :param ceiling: the lowest that the row's ceiling for this life can be
-    :param spent: tokens used and lent, less those that came from others; below zero
-        where more came than went. ``spent - used`` is what loans took from here in all,
-        and over all instances what is with them or was lost on its way
-    :param used: tokens that requests ran for
-    :param reserved: tokens that requests which run now may use
-    :param version: of the row as last known, ``None`` if it never was read
-    :param requested: tokens that a request waits for, 0 if none does
-    :param policy: the figures that plans go by
+    """Tokens that one incarnation of an instance may spend, has spent and has reserved.
+
+    :param boot: the incarnation
+    :param ceiling: the lowest value that the row's ceiling for this incarnation can
+        have
+    :param spent: tokens used and lent, less those borrowed; negative if it borrowed
+        more. ``spent - used`` is its balance of loans; summed over all instances, this
+        is what they borrowed and hold, plus loans lost in transit
+    :param used: tokens used by completed requests
+    :param reserved: tokens set aside for running requests
+    :param version: version of the row as last read, ``None`` if it was never read
+    :param requested: tokens that a waiting request needs, 0 if none waits
+    :param policy: the settings that plans use
     """
 
     holder: str
@@ -126,23 +131,30 @@
 
     @property
     def unspent(self) -> int:
-        """Tokens that may be reserved now; below zero never spends."""
+        """Tokens that may be reserved now; if negative, nothing can be reserved."""
         return self.ceiling - self.spent - self.reserved
 
     def reserve(self, tokens: int) -> RefusalReason | None:
-        """Set tokens aside before a request is sent, ``None`` if that succeeded."""
-        kept = self._kept_from(tokens)
-        if tokens <= self.unspent and tokens + kept <= self.remaining():
+        """Set tokens aside before a request is sent.
+
+        :returns: why it failed, ``None`` if it succeeded
+        """
+        withheld = self._withheld_from(tokens)
+        if tokens <= self.unspent and tokens + withheld <= self.remaining():
             self.reserved += tokens
             return None
         if self.version is None:
             return RefusalReason.UNKNOWN
-        if self._surely_spent() + tokens + kept > self.prepaid:
+        if self._known_spent() + tokens + withheld > self.prepaid:
             return RefusalReason.EXHAUSTED
-        return RefusalReason.KEPT if tokens <= self.unspent else RefusalReason.ELSEWHERE
+        return (
+            RefusalReason.KEPT_FOR_SMALL
+            if tokens <= self.unspent
+            else RefusalReason.ELSEWHERE
+        )
 
     def settle(self, reserved: int, used: int) -> None:
-        """Replace a reservation by what was used of it."""
+        """Release a reservation and count the tokens used of it."""
         self.reserved -= reserved
         self.spent += min(reserved, used)
         self.used += min(reserved, used)
@@ -150,33 +162,34 @@
     def lend(self, tokens: int) -> int:
         """Count tokens as spent here, so that a peer may spend them; return how many.
 
-        A peer asks only for what it cannot serve at once, so all that is unspent goes.
+        All unspent tokens may be lent: a peer asks only for what it needs at once.
         """
         lent = max(0, min(tokens, self.unspent))
         self.spent += lent
         return lent
 
-    def lend_headroom(self, tokens: int, ahead: int) -> int:
+    def lend_headroom(self, tokens: int, headroom: int) -> int:
         """Lend to an instance that holds no allotment; return how many tokens.
 
-        :param tokens: that it needs now
-        :param ahead: that it would like besides; it gets a part of what is left only
+        :param tokens: tokens that it needs now
+        :param headroom: further tokens that it requests; it gets at most a fraction of
+            those that remain
         """
         spare = max(0, self.unspent - tokens)
-        return self.lend(tokens + min(ahead, int(AHEAD_PART * spare)))
+        return self.lend(tokens + min(headroom, int(LOAN_HEADROOM_FRACTION * spare)))
 
     def receive_loan(self, tokens: int) -> None:
-        """Take tokens that a peer has counted as spent.
+        """Add tokens that a peer has counted as spent.
 
-        What this life has spent, less what it was lent, may fall below zero.
+        ``spent`` may become negative.
         """
         self.spent -= tokens
 
     def read(self, row: AllotmentRow, version: int) -> None:
-        """Take in the row as it stood at a version.
+        """Update the account from the row at a version.
 
-        A ceiling that is higher than this life knows is from a write whose answer was
-        lost. It counts unless a write that lowers it may still take effect.
+        A stored ceiling above the known one comes from a write whose response was lost.
+        It is used unless a write that lowers it may still take effect.
         """
         if self.version is not None and version < self.version:
             return
@@ -189,10 +202,10 @@
         self.ceiling = max(stored, self.spent + self.reserved)
 
     def propose(self, headroom: int, now: float) -> Change:
-        """Return the row with this instance's entry as it should be.
+        """Return the row with a new entry for this incarnation.
 
-        The ceiling is below zero where more tokens came from others, under their
-        ceilings, than this life used, and the rest goes back to the row.
+        The ceiling is negative if this incarnation borrowed more tokens than it used
+        and its headroom is smaller than the difference.
 
         :param headroom: tokens beyond those spent and reserved
         """
@@ -203,41 +216,41 @@
         return Change(self.row.with_entry(self.holder, entry), ceiling)
 
     def begin_write(self, change: Change) -> None:
-        """Be about to write a change: a lower ceiling counts from now on."""
+        """Apply a lower ceiling before the change is written."""
         if change.ceiling < self.ceiling:
             self.ceiling = change.ceiling
             self._lowered = change.ceiling
 
     def confirm_write(self, change: Change, version: int) -> None:
-        """Learn that a change was written."""
+        """Apply a change that was written."""
         self.row = change.row
         self.version = version
         self.ceiling = change.ceiling
         self._lowered = None
 
     def close(self) -> AllotmentRow:
-        """Return the row after this life's end; nothing may be reserved from now on."""
+        """Return the row without this incarnation, which may reserve nothing more."""
         self.ceiling = self.spent
         return self.row.without(self.holder, self.spent, self.used)
 
     def reopen(self) -> None:
-        """Learn that the end of this life was certainly not written."""
+        """Resume after a close that was certainly not written."""
         entry = self.row.find(self.holder, self.boot)
         if entry is not None and self._lowered is None:
             self.ceiling = entry.ceiling
 
     def describe(self) -> dict[str, int]:
-        """Return each term of the account, for operators."""
+        """Return the figures of the account, for operators."""
         others = self.others().values()
         return {
             "prepaid": self.prepaid,
             "used": self.used,
-            "used_by_all": self._surely_spent(),
+            "used_by_all": self._known_spent(),
             "reserved": self.reserved,
             "ceiling": self.ceiling,
             "unspent": self.unspent,
             "lent": self.spent - self.used,
-            "held_by_others": sum(one.unspent for one in others),
+            "held_by_others": sum(allotment.unspent for allotment in others),
             "unaccounted": self.row.closed - self.row.closed_spent,
             "free": self.free(),
             "left": self.remaining(),
@@ -245,64 +258,69 @@
         }
 
     def free(self) -> int:
-        """Tokens that no instance holds, by the row as last known."""
+        """Return the tokens that no instance holds, by the row as last read."""
         return self.prepaid - self.row.committed
 
     @property
-    def lowering(self) -> bool:
-        """Whether a lower ceiling counts here that is not known to be in the row."""
+    def has_pending_decrease(self) -> bool:
+        """Whether a lower ceiling is applied that may not be in the row yet."""
         return self._lowered is not None
 
     @property
-    def has_earlier_life(self) -> bool:
-        """Whether the row still has what an earlier life of this instance held."""
+    def has_earlier_incarnation(self) -> bool:
+        """Whether the row still has an entry of an earlier incarnation."""
         entry = self.row.holders.get(self.holder)
         return entry is not None and entry.boot != self.boot
 
     def max_headroom(self) -> int:
-        """Return the most headroom that the row has room for."""
+        """Return the largest headroom that the row can grant this instance."""
         entry = self.row.find(self.holder, self.boot)
         stored = 0 if entry is None else entry.ceiling
         return max(0, self.free() + stored - self.spent - self.reserved)
 
     def remaining(self) -> int:
-        """Tokens that the workspace may still spend, by what is known here.
+        """Return the tokens that the workspace may still spend, as known here.
 
-        What is free and what is unspent here are among them; what others borrowed is
-        not, nor what an earlier life held, since nobody here can have it. Entries of
-        others may be old, so it is never more than what is not known to be used.
+        They include free tokens and those unspent here, but neither tokens that others
+        borrowed nor those of an earlier incarnation, which are unavailable here.
+        Entries of others may be stale, so the result is bounded by the tokens that are
+        not known to be used.
         """
-        others = sum(one.spent + one.lent for one in self.others().values())
+        others = sum(
+            allotment.spent + allotment.lent for allotment in self.others().values()
+        )
         reachable = self.prepaid - self.row.closed - others - self._earlier_ceiling
-        unused = self.prepaid - self._surely_spent()
+        unused = self.prepaid - self._known_spent()
         return min(reachable - self.spent, unused) - self.reserved
 
     @property
     def _earlier_ceiling(self) -> int:
-        """What an earlier life of this instance may have spent."""
+        """Tokens that an earlier incarnation of this instance may have spent."""
         entry = self.row.holders.get(self.holder)
         return 0 if entry is None or entry.boot == self.boot else entry.ceiling
 
     @property
-    def last_part(self) -> int:
-        """Tokens that are kept for small requests."""
+    def withheld(self) -> int:
+        """Tokens that only small requests may use."""
         return int(self.policy.last_part * self.prepaid)
 
     def is_small(self, tokens: int) -> bool:
-        """Tell whether a request may have of the last part."""
-        return tokens <= SMALL_PART * self.prepaid
+        """Return whether a request may use the tokens withheld from larger ones."""
+        return tokens <= SMALL_REQUEST_FRACTION * self.prepaid
 
-    def _kept_from(self, tokens: int) -> int:
-        """Return the tokens that a request of this size may not touch."""
-        return 0 if self.is_small(tokens) else self.last_part
+    def _withheld_from(self, tokens: int) -> int:
+        """Return the tokens that a request of this size may not use."""
+        return 0 if self.is_small(tokens) else self.withheld
 
-    def _surely_spent(self) -> int:
+    def _known_spent(self) -> int:
         own = self.row.find(self.holder, self.boot)
         known = 0 if own is None else own.spent
-        return self.row.surely_spent - known + self.used
+        return self.row.known_spent - known + self.used
 
     def others(self) -> Mapping[str, Allotment]:
-        """Return the other living instances' entries."""
+        """Return the entries of the other instances."""
         return {
-            name: one for name, one in self.row.holders.items() if name != self.holder
+            name: allotment
+            for name, allotment in self.row.holders.items()
+            if name != self.holder
         }
--- a/packages/pondquay/src/pondquay/budgets/allotments.py
+++ b/packages/pondquay/src/pondquay/budgets/allotments.py
@@ -1,10 +1,11 @@
-"""Allotments: each instance's part of a prepaid budget, kept in one row a workspace.
-
-The row holds what instances that are closed can have spent, and for each living one a
-ceiling on all that it spends in this life. The sum never exceeds the prepaid tokens,
-and an instance spends only below the ceiling that it knows to be in the row, so the
-budget holds in any cut and after any death, whatever the clocks say. The next life of
-an instance closes the one before as if its whole ceiling had been spent.
+"""Allotments: each instance's share of a prepaid budget, in one row per workspace.
+
+The row stores the tokens that closed incarnations may have spent and, for each open
+one, a ceiling on its spending. The sum never exceeds the prepaid tokens, and an
+instance spends only up to the ceiling that it knows to be in the row. So the budget is
+never overspent in a partition or after a crash, and this does not depend on clocks. The
+next incarnation of an instance closes the previous one as if its whole ceiling had been
+spent.
 """
 
 from __future__ import annotations
@@ -21,15 +22,15 @@
     from collections.abc import Mapping
 
 
-# No budget comes near this many tokens; sums over all holders stay exact.
+# Above any real budget; sums over all holders stay exact.
 MAX_TOKENS = 1 << 53
 Tokens = Annotated[int, Meta(ge=0, le=MAX_TOKENS)]
-# Below zero where more was borrowed than lent.
+# Negative if more tokens were borrowed than lent.
 Balance = Annotated[int, Meta(ge=-MAX_TOKENS, le=MAX_TOKENS)]
 
 
 class _RowDocument(msgspec.Struct, frozen=True):
-    """A row as it is stored: numbers of tokens, in the order of the fields below."""
+    """A row as stored: token counts in the order of the fields of the classes."""
 
     closed: tuple[Balance, Tokens]
     holders: dict[str, tuple[str, Balance, Tokens, Tokens, Balance]]
@@ -37,17 +38,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Allotment:
-    """One living instance's entry.
+    """The entry of one open incarnation of an instance.
 
-    :param boot: the life of the instance that it is for
-    Only its own life writes it, and the next life takes it out.
+    Only this incarnation writes it, and the next one removes it.
 
-    :param ceiling: the most tokens that this life may ever spend: what requests use
-        and what it lends, less what others lend to it
-    :param spent: what requests had used there when it wrote this, without loans
-    :param rate: tokens a second that it was asked for
-    :param lent: what it had lent then, less what came from others; below zero where
-        more came than went
+    :param boot: the incarnation
+    :param ceiling: the most tokens that this incarnation may ever spend: those used by
+        requests and lent, less those borrowed
+    :param spent: tokens used by requests when the entry was written, without loans
+    :param rate: tokens requested per second
+    :param lent: tokens lent when the entry was written, less those borrowed; negative
+        if it borrowed more
     """
 
     boot: str
@@ -58,7 +59,7 @@
 
     @property
     def unspent(self) -> int:
-        """What was left of it when it was written."""
+        """Tokens that were unspent when the entry was written."""
         return max(0, self.ceiling - self.spent - self.lent)
 
 
@@ -66,8 +67,9 @@
 class AllotmentRow:
     """All of one workspace's allotments.
 
-    :param closed: tokens that lives which have ended can have spent
-    :param closed_spent: what they are known to have spent of these
+    :param closed: tokens that closed incarnations may have spent
+    :param closed_spent: tokens of these that are known to be spent
+    :param holders: the entry of each instance by its name
     """
 
     closed: int = 0
@@ -76,59 +78,75 @@
 
     @property
     def committed(self) -> int:
-        """Tokens that have been or may be spent by what the row says."""
-        return self.closed + sum(one.ceiling for one in self.holders.values())
+        """Tokens that have been or may be spent, according to the row."""
+        return self.closed + sum(
+            allotment.ceiling for allotment in self.holders.values()
+        )
 
     @property
-    def surely_spent(self) -> int:
+    def known_spent(self) -> int:
         """Tokens that are known to be spent."""
-        return self.closed_spent + sum(one.spent for one in self.holders.values())
+        return self.closed_spent + sum(
+            allotment.spent for allotment in self.holders.values()
+        )
 
     def find(self, holder: str, boot: str) -> Allotment | None:
-        """Return the entry of one life of an instance."""
+        """Return the entry of one incarnation of an instance."""
         entry = self.holders.get(holder)
         return entry if entry is not None and entry.boot == boot else None
 
     def with_entry(self, holder: str, entry: Allotment) -> AllotmentRow:
-        """Return the row with a new entry; another life's is closed."""
+        """Return the row with a new entry; that of another incarnation is closed."""
         holders = {**self.holders, holder: entry}
-        before = self.holders.get(holder)
-        if before is None or before.boot == entry.boot:
+        previous = self.holders.get(holder)
+        if previous is None or previous.boot == entry.boot:
             return replace(self, holders=holders)
         return AllotmentRow(
-            self.closed + before.ceiling, self.closed_spent + before.spent, holders
+            self.closed + previous.ceiling, self.closed_spent + previous.spent, holders
         )
 
     def without(self, holder: str, spent: int, used: int) -> AllotmentRow:
-        """Return the row after an instance has handed back what it did not spend.
+        """Return the row after an instance has returned its unspent tokens.
 
-        :param spent: with what it lent, without what it borrowed
-        :param used: what requests used there
+        :param spent: tokens it used and lent, less those it borrowed
+        :param used: tokens used by its requests
         """
-        holders = {name: one for name, one in self.holders.items() if name != holder}
+        holders = {
+            name: allotment
+            for name, allotment in self.holders.items()
+            if name != holder
+        }
         return AllotmentRow(self.closed + spent, self.closed_spent + used, holders)
 
     def to_value(self) -> dict[str, Any]:
-        """Return the form in which it is stored."""
+        """Return the row as it is stored."""
         return {
             "closed": [self.closed, self.closed_spent],
             "holders": {
-                name: [one.boot, one.ceiling, one.spent, one.rate, one.lent]
-                for name, one in self.holders.items()
+                name: [
+                    allotment.boot,
+                    allotment.ceiling,
+                    allotment.spent,
+                    allotment.rate,
+                    allotment.lent,
+                ]
+                for name, allotment in self.holders.items()
             },
         }
 
     @classmethod
     def from_value(cls, value: Mapping[str, Any]) -> AllotmentRow:
-        """Read the form in which it is stored.
+        """Parse a stored row.
 
-        :raises MalformedRowError: if it has another form
+        :raises MalformedRowError: if the value is not a valid row
         """
         try:
             document = msgspec.convert(value, _RowDocument)
         except (msgspec.ValidationError, OverflowError, RecursionError) as error:
             raise MalformedRowError(f"allotments: {error}") from error
-        holders = {name: Allotment(*one) for name, one in document.holders.items()}
+        holders = {
+            name: Allotment(*allotment) for name, allotment in document.holders.items()
+        }
         return cls(*document.closed, holders)
 
 
--- a/packages/pondquay/src/pondquay/budgets/closer.py
+++ b/packages/pondquay/src/pondquay/budgets/closer.py
@@ -1,4 +1,4 @@
-"""Closing what a holder no longer draws on, and settling what ends afterwards."""
+"""Programs that close a holder's unused grants and settle their late attempts."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
 
 @dataclass(slots=True)
 class MaintenanceResult:
-    """What a program has brought about that others wait for.
+    """Results of a program that the caller has to report to requests and witnesses.
 
     :param recorded: attempts whose bills are in the table now
     :param refused: attempts that will not run
-    :param notices: word for witnesses
+    :param notices: messages to witnesses
     """
 
     recorded: list[Attempt] = field(default_factory=list)
@@ -38,10 +38,10 @@
 
 
 class GrantCloser:
-    """The holder's programs that close grants.
+    """Closes grants of a holder in the table.
 
-    :param is_pending: tells whether the outcome of a change of a grant is not known
-    :param next_segment: returns the key for the next bills
+    :param is_pending: returns whether a grant has a change with an unknown outcome
+    :param next_segment: returns the key of the next segment of bills
     """
 
     def __init__(
@@ -54,37 +54,37 @@
         self._is_pending = is_pending
         self._next_segment = next_segment
 
-    def close_closing(self, progress: MaintenanceResult) -> Program[None]:
-        """Close all grants that are never drawn on again."""
+    def close_pending(self, result: MaintenanceResult) -> Program[None]:
+        """Close all grants in the state ``CLOSING``."""
         for holding in self._holder.list_holdings():
             closing = holding.state is HoldingState.CLOSING
             if closing and not self._is_pending(holding):
-                yield from self._close(holding, progress)
+                yield from self._close(holding, result)
 
-    def _close(self, holding: Holding, progress: MaintenanceResult) -> Program[None]:
+    def _close(self, holding: Holding, result: MaintenanceResult) -> Program[None]:
         closing = self._holder.describe_close(holding, self._next_segment())
         settled = list(holding.settled())
         outcome = yield from close_grant(closing)
         if not isinstance(outcome, Closed):
             return
-        if not outcome.by_us:
+        if not outcome.by_caller:
             resolved = yield from self._resolve(holding, settled)
             if not resolved:
                 return
-        progress.recorded += settled
+        result.recorded += settled
         forget = self._holder.note_closed(holding, settled)
-        if forget is not None and holding.witness is not None and outcome.by_us:
-            progress.notices.append((holding.witness, forget))
+        if forget is not None and holding.witness is not None and outcome.by_caller:
+            result.notices.append((holding.witness, forget))
 
-    def settle_closed(self, progress: MaintenanceResult) -> Program[None]:
-        """Write ends of attempts that came after their grant was closed."""
+    def settle_late_attempts(self, result: MaintenanceResult) -> Program[None]:
+        """Settle attempts in the table that ended after their grant was closed."""
         for holding in self._holder.list_holdings():
             settled = list(holding.settled())
             if holding.state is not HoldingState.CLOSED or not settled:
                 continue
             resolved = yield from self._resolve(holding, settled)
             if resolved:
-                progress.recorded += settled
+                result.recorded += settled
                 self._holder.note_closed(holding, settled)
 
     def _resolve(self, holding: Holding, settled: Sequence[Attempt]) -> Program[bool]:
@@ -92,8 +92,8 @@
         outcome = yield from resolve_held(
             holding.workspace,
             holding.id,
-            [Resolution(one.id.seq, one.billed) for one in settled],
-            [one.bill for one in settled if one.bill is not None],
+            [Resolution(attempt.id.seq, attempt.billed) for attempt in settled],
+            [attempt.bill for attempt in settled if attempt.bill is not None],
             self._next_segment(),
         )
         return isinstance(outcome, Resolved)
--- a/packages/pondquay/src/pondquay/budgets/closings.py
+++ b/packages/pondquay/src/pondquay/budgets/closings.py
@@ -1,6 +1,6 @@
-"""Table programs that close grants, and settle what closed ones still hold.
+"""Table programs that close grants and settle the attempts that closed grants hold.
 
-As all programs do, they read, decide and commit under the versions that they read.
+Like all programs, they read, decide and commit under the versions that they read.
 """
 
 from __future__ import annotations
@@ -43,10 +43,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Closing:
-    """What the holder or the witness knows of a grant that it closes.
+    """The state of a grant that its holder or its witness closes.
 
-    :param spent: tokens used for good, also those whose bills were written before
-    :param held: attempts without a known outcome
+    :param spent: tokens billed, including those whose bills are already written
+    :param held: attempts without a known outcome, by sequence number
     :param bills: bills that may not be in the table yet
     :param segment: the key under which the bills are written
     """
@@ -61,37 +61,37 @@
 
 @dataclass(frozen=True, slots=True)
 class Closed:
-    """The grant no longer stands open.
+    """The grant is no longer open.
 
-    :param by_us: this program's transaction did it; else another had before, and
-        what it noted is in the row
+    :param by_caller: whether this program's transaction closed it; otherwise another
+        one did before, and the row holds the state that it wrote
     """
 
-    by_us: bool
+    by_caller: bool
 
 
 CloseOutcome = Closed | Unreachable | Lost
 
 
 def close_grant(closing: Closing) -> Program[CloseOutcome]:
-    """Give back what a grant has left, keep what is held, and write its bills.
+    """Return a grant's remaining tokens, keep its held attempts and write its bills.
 
-    Whoever calls this has made sure that the grant is never drawn on again.
+    The caller has made sure that nothing is ever spent from the grant again.
     """
-    at_budget = budget_key(closing.workspace)
-    at_grant = grant_key(closing.grant)
+    budget_row_key = budget_key(closing.workspace)
+    grant_row_key = grant_key(closing.grant)
     for _ in range(MAX_TRIES):
-        rows = yield from read_rows(at_budget, at_grant)
+        rows = yield from read_rows(budget_row_key, grant_row_key)
         if isinstance(rows, Unreachable):
             return rows
-        grant = load_grant(rows.rows.get(at_grant))
-        budget = load_budget(rows.rows.get(at_budget))
+        grant = load_grant(rows.rows.get(grant_row_key))
+        budget = load_budget(rows.rows.get(budget_row_key))
         if grant is None or budget is None or grant.state is not GrantState.OPEN:
-            return Closed(by_us=False)
+            return Closed(by_caller=False)
         transaction = _plan_close(closing, budget, grant, rows)
         reply = yield from commit_rows(transaction)
         if isinstance(reply, Committed):
-            return Closed(by_us=True)
+            return Closed(by_caller=True)
         if isinstance(reply, Unreachable | Lost):
             return reply
     return Unreachable()
@@ -100,9 +100,9 @@
 def _plan_close(
     closing: Closing, budget: BudgetRow, grant: GrantRow, rows: Rows
 ) -> Transaction:
-    at_budget = budget_key(closing.workspace)
-    at_grant = grant_key(closing.grant)
-    held = {str(seq): one for seq, one in closing.held.items()}
+    budget_row_key = budget_key(closing.workspace)
+    grant_row_key = grant_key(closing.grant)
+    held = {str(seq): intent for seq, intent in closing.held.items()}
     sealed = replace(grant, state=GrantState.SEALED, spent=closing.spent, held=held)
     lowered = replace(
         budget,
@@ -111,12 +111,12 @@
         used=max(0, budget.used + closing.spent - grant.used),
     )
     writes = [
-        Write(at_budget, dump_row(lowered)),
-        Write(at_grant, dump_row(sealed) if held else None),
+        Write(budget_row_key, dump_row(lowered)),
+        Write(grant_row_key, dump_row(sealed) if held else None),
     ]
     conditions = [
-        Condition(at_budget, rows.version(at_budget)),
-        Condition(at_grant, rows.version(at_grant)),
+        Condition(budget_row_key, rows.version(budget_row_key)),
+        Condition(grant_row_key, rows.version(grant_row_key)),
     ]
     if closing.bills:
         writes.append(Write(closing.segment, dump_segment(closing.bills)))
@@ -137,7 +137,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Resolved:
-    """The outcomes are in the table, from this program or an earlier one."""
+    """The outcomes are in the table, written by this program or an earlier one."""
 
 
 def resolve_held(
@@ -147,25 +147,31 @@
     bills: Sequence[Bill],
     segment: str,
 ) -> Program[Resolved | Unreachable | Lost]:
-    """Settle attempts that a sealed grant still holds, each once by its sequence.
+    """Settle attempts that a sealed grant still holds, each only once.
 
     :param bills: the bills of those resolutions that are billed
     :param segment: the key under which the bills are written
     """
-    at_budget = budget_key(workspace)
-    at_grant = grant_key(grant)
+    budget_row_key = budget_key(workspace)
+    grant_row_key = grant_key(grant)
     for _ in range(MAX_TRIES):
-        rows = yield from read_rows(at_budget, at_grant)
+        rows = yield from read_rows(budget_row_key, grant_row_key)
         if isinstance(rows, Unreachable):
             return rows
-        sealed = load_grant(rows.rows.get(at_grant))
-        budget = load_budget(rows.rows.get(at_budget))
+        sealed = load_grant(rows.rows.get(grant_row_key))
+        budget = load_budget(rows.rows.get(budget_row_key))
         if sealed is None or budget is None:
             return Resolved()
-        pending = [one for one in resolutions if str(one.seq) in sealed.held]
+        pending = [
+            resolution
+            for resolution in resolutions
+            if str(resolution.seq) in sealed.held
+        ]
         if not pending:
             return Resolved()
-        transaction = _plan_resolve(at_budget, at_grant, budget, sealed, pending, rows)
+        transaction = _plan_resolve(
+            budget_row_key, grant_row_key, budget, sealed, pending, rows
+        )
         transaction = _add_bills(transaction, bills, segment)
         reply = yield from commit_rows(transaction)
         if isinstance(reply, Committed):
@@ -176,8 +182,8 @@
 
 
 def _plan_resolve(
-    at_budget: str,
-    at_grant: str,
+    budget_row_key: str,
+    grant_row_key: str,
     budget: BudgetRow,
     sealed: GrantRow,
     pending: Sequence[Resolution],
@@ -185,9 +191,9 @@
 ) -> Transaction:
     held = dict(sealed.held)
     spent = sealed.spent
-    for one in pending:
-        reserve = held.pop(str(one.seq)).reserve
-        spent += min(one.billed or 0, reserve)
+    for resolution in pending:
+        reserve = held.pop(str(resolution.seq)).reserve
+        spent += min(resolution.billed or 0, reserve)
     resolved = replace(sealed, held=held, spent=spent)
     returned = resolved.remainder - sealed.remainder
     changed = dump_row(resolved) if held else None
@@ -197,12 +203,12 @@
         used=budget.used + spent - sealed.spent,
     )
     return Transaction(
-        f"resolve/{at_grant}",
+        f"resolve/{grant_row_key}",
         (
-            Condition(at_budget, rows.version(at_budget)),
-            Condition(at_grant, rows.version(at_grant)),
+            Condition(budget_row_key, rows.version(budget_row_key)),
+            Condition(grant_row_key, rows.version(grant_row_key)),
         ),
-        (Write(at_budget, dump_row(lowered)), Write(at_grant, changed)),
+        (Write(budget_row_key, dump_row(lowered)), Write(grant_row_key, changed)),
     )
 
 
--- a/packages/pondquay/src/pondquay/budgets/demands.py
+++ b/packages/pondquay/src/pondquay/budgets/demands.py
@@ -1,4 +1,4 @@
-"""How many tokens each workspace uses at one instance, and what policies are told."""
+"""Token demand of each workspace at one instance, and the input of grant policies."""
 
 from __future__ import annotations
 
@@ -14,48 +14,51 @@
     from pondquay.budgets.holdings import Holding
     from pondquay.budgets.rows import BudgetRow
 
-# Workspaces for which an instance keeps tokens without having seen a request.
+# Workspaces for which an instance holds tokens before it has received a request.
 MAX_WATCHED = 200
-MEMORY_SECONDS = 900.0
-PRIOR_SECONDS = 60.0
-SECONDS_AN_HOUR = 3600
+# Time constant of the exponential average of the demand.
+RATE_SECONDS = 900.0
+# Initial period without demand, so that the first request does not yield a high rate.
+INITIAL_SECONDS = 60.0
+SECONDS_PER_HOUR = 3600
 
 
 @dataclass(slots=True)
 class Demand:
-    """What a workspace uses here.
+    """Demand of a workspace at this instance.
 
     :param budget: the budget's row as last read
-    :param rate: tokens a second, over the last few minutes
-    :param total: tokens that the rate was made from, the older the less they count
-    :param seconds: the time that they were reserved in, counted alike
-    :param reserved: tokens reserved since the rate was last brought up to date
-    :param largest: the most that a recent request reserved
+    :param rate: tokens per second, as an average over the last minutes
+    :param total: tokens reserved, with exponentially decaying weights
+    :param seconds: time in which they were reserved, with the same weights
+    :param reserved: tokens reserved since the last update of the rate
+    :param largest: tokens of the largest request
     """
 
     budget: BudgetRow | None = None
     rate: float = 0.0
     total: float = 0.0
-    seconds: float = PRIOR_SECONDS
+    seconds: float = INITIAL_SECONDS
     reserved: int = 0
     largest: int = 0
 
     def fleet_rate(self, holdings: Sequence[Holding], instances: int) -> float:
-        """Return what all instances spend a second, as the budget's row tells it.
+        """Return the tokens that all instances spend per second.
 
-        What the row counts of this instance is replaced by what it knows itself.
+        The budget's row holds the sum; this instance's part of it is replaced by its
+        own, newer rate.
 
         :param holdings: this instance's grants of the workspace
         """
         if self.budget is None or self.budget.demand == 0:
             return self.rate * instances
-        own = sum(one.demand for one in holdings)
+        own = sum(holding.demand for holding in holdings)
         others = max(0, self.budget.demand - own)
-        return self.rate + others / SECONDS_AN_HOUR
+        return self.rate + others / SECONDS_PER_HOUR
 
 
-class DemandBook:
-    """The demand of all workspaces that an instance keeps tokens for."""
+class DemandTracker:
+    """Tracks the demand of all workspaces that an instance holds tokens for."""
 
     def __init__(self) -> None:
         self._demands: dict[str, Demand] = {}
@@ -64,19 +67,20 @@
         return iter(list(self._demands))
 
     def find(self, workspace: str) -> Demand:
-        """Return a workspace's demand, which is kept from now on."""
+        """Return a workspace's demand; start tracking it if it is new."""
         return self._demands.setdefault(workspace, Demand())
 
     def note(self, workspace: str, tokens: int) -> None:
-        """Count tokens that a request wants to reserve."""
+        """Record the tokens that a request needs to reserve."""
         demand = self.find(workspace)
         demand.reserved += tokens
         demand.largest = max(demand.largest, tokens)
 
     def watch(self, workspaces: Iterable[str]) -> None:
-        """Keep a base of tokens for some workspaces before any request asks for them.
+        """Track workspaces before their first request.
 
-        :param workspaces: names; beyond a bound they wait for their first request
+        :param workspaces: names; those beyond a limit are tracked from their first
+            request
         """
         for workspace in workspaces:
             if len(self._demands) >= MAX_WATCHED:
@@ -84,14 +88,14 @@
             self.find(workspace)
 
     def update_rates(self, seconds: float) -> None:
-        """Bring the rates up to date.
+        """Update the rates.
 
-        :param seconds: since the last time
+        :param seconds: time since the last update
         """
-        fading = exp(-seconds / MEMORY_SECONDS)
+        decay = exp(-seconds / RATE_SECONDS)
         for demand in self._demands.values():
-            demand.total = fading * demand.total + demand.reserved
-            demand.seconds = fading * demand.seconds + seconds
+            demand.total = decay * demand.total + demand.reserved
+            demand.seconds = decay * demand.seconds + seconds
             demand.rate = demand.total / demand.seconds
             demand.reserved = 0
 
@@ -102,7 +106,7 @@
         holdings: Sequence[Holding],
         instances: int,
     ) -> GrantView:
-        """Return what a policy is told of a workspace.
+        """Return a policy's view of a workspace.
 
         :param requested: tokens that waiting requests need now
         :param holdings: this instance's grants of the workspace
@@ -113,8 +117,8 @@
             limit=0 if budget is None else budget.limit,
             free=0 if budget is None else budget.free,
             remaining=0 if budget is None else budget.remaining,
-            holding=sum(one.free for one in holdings),
-            running=sum(one.reserved for one in holdings),
+            available=sum(holding.free for holding in holdings),
+            reserved=sum(holding.reserved for holding in holdings),
             rate=demand.rate,
             fleet_rate=demand.fleet_rate(holdings, instances),
             instances=instances,
--- a/packages/pondquay/src/pondquay/budgets/directory.py
+++ b/packages/pondquay/src/pondquay/budgets/directory.py
@@ -1,4 +1,4 @@
-"""What the budget parts need to know of other instances."""
+"""The interface through which grants and witnesses learn of other instances."""
 
 from __future__ import annotations
 
@@ -10,20 +10,23 @@
 
 
 class WitnessDirectory(ABC):
-    """Tells which instances can witness grants. A wrong answer is never unsafe."""
+    """Lists the instances that can witness grants.
+
+    Wrong results never lead to overspending.
+    """
 
     @abstractmethod
     def witnesses(self) -> list[InstanceId]:
-        """Return peers of the own failure domain that can be asked now."""
+        """Return the peers of this failure domain that can be witnesses now."""
 
     @abstractmethod
     def is_usable(self, peer: InstanceId) -> bool:
-        """Tell whether a peer can be expected to answer now."""
+        """Return whether a peer is expected to respond now."""
 
     @abstractmethod
     def is_presumed_dead(self, peer: InstanceId) -> bool:
-        """Tell whether a peer has been silent for so long that others replace it."""
+        """Return whether a peer was unresponsive for long enough to be replaced."""
 
     @abstractmethod
     def count(self) -> int:
-        """Return how many peers are believed to be alive."""
+        """Return how many peers are considered alive."""
--- a/packages/pondquay/src/pondquay/budgets/headroom.py
+++ b/packages/pondquay/src/pondquay/budgets/headroom.py
@@ -1,8 +1,8 @@
-"""How much an instance keeps ahead of its spending.
+"""Plans the headroom of an instance: unspent tokens that it holds beyond its demand.
 
-What is kept ahead serves while the table is out of reach, is missing elsewhere, and is
-lost if the instance dies. So it follows the demand, and it is bounded by a share of
-what the workspace has left.
+Headroom lets an instance serve requests while the table is unreachable. Other instances
+cannot spend it, and it is lost if the instance dies. So it is proportional to the
+demand and bounded by a fraction of the workspace's remaining tokens.
 """
 
 from __future__ import annotations
@@ -12,170 +12,177 @@
 if TYPE_CHECKING:
     from pondquay.budgets.accounts import Account
 
-# Largest requests that all instances together keep ahead besides their demand.
-COVER_REQUESTS = 1
-# Part of the prepaid tokens that they keep while no demand is known, and at most.
-FIRST_OF_PREPAID = 0.15
-MAX_OF_PREPAID = 0.25
-# Part of the prepaid tokens that an instance keeps before it knows the others.
-FIRST_PART = 0.03
-# Rate that is added to each instance's, as a part of the mean, so that all get some.
-FLOOR_PART = 0.5
-# Below this part of the target more is asked for.
-LOW_PART = 0.7
-# Below this part of its plan an instance without an allotment borrows ahead.
-TOP_UP_PART = 0.3
-# What is above the target by this part of it, and by this part of the prepaid tokens,
-# is returned.
-HIGH_PART = 0.2
-WORTH_RETURNING = 0.005
+# Requests of the largest size in the fleet's headroom, in addition to its demand.
+HEADROOM_REQUESTS = 1
+# The fleet's headroom as a fraction of the prepaid tokens, while no demand is known.
+INITIAL_HEADROOM_FRACTION = 0.15
+# Upper limit of the fleet's headroom as a fraction of the prepaid tokens.
+MAX_HEADROOM_FRACTION = 0.25
+# Upper limit of an instance's headroom, as a fraction of the prepaid tokens, while the
+# row has no entries of others.
+FIRST_INSTANCE_FRACTION = 0.03
+# Fraction of the mean rate that is added to each instance's rate, so that instances
+# without demand get headroom as well.
+RATE_FLOOR_FRACTION = 0.5
+# An allotment is raised if its unspent tokens are below this fraction of the target.
+REFILL_FRACTION = 0.7
+# An instance without an allotment borrows headroom if its unspent tokens are below this
+# fraction of its plan.
+TOP_UP_FRACTION = 0.3
+# A surplus is returned if it exceeds both this fraction of the target,
+SURPLUS_FRACTION = 0.2
+# and this fraction of the prepaid tokens.
+MIN_RETURN_FRACTION = 0.005
 
 
 def share_of_demand(account: Account, now: float) -> float:
-    """Return this instance's part of the demand that the row shows."""
+    """Return this instance's fraction of the demand in the row."""
     own = account.demand.rate(now)
-    rates = [float(one.rate) for one in account.others().values()]
+    rates = [float(allotment.rate) for allotment in account.others().values()]
     mean = (own + sum(rates)) / (1 + len(rates))
-    floor = FLOOR_PART * mean + 1.0
+    floor = RATE_FLOOR_FRACTION * mean + 1.0
     return (own + floor) / (own + sum(rates) + floor * (1 + len(rates)))
 
 
 def fleet_headroom(account: Account, now: float) -> float:
-    """Return the tokens that all instances together should have unspent."""
+    """Return the tokens that all instances together should hold unspent."""
     rate = account.demand.rate(now)
-    rate += sum(one.rate for one in account.others().values())
-    need = account.policy.cover_seconds * rate + COVER_REQUESTS * account.demand.largest
+    rate += sum(allotment.rate for allotment in account.others().values())
+    need = (
+        account.policy.cover_seconds * rate + HEADROOM_REQUESTS * account.demand.largest
+    )
     if rate == 0.0:
-        need = FIRST_OF_PREPAID * account.prepaid
-    most = min(
-        MAX_OF_PREPAID * account.prepaid,
+        need = INITIAL_HEADROOM_FRACTION * account.prepaid
+    limit = min(
+        MAX_HEADROOM_FRACTION * account.prepaid,
         account.policy.most_of_left * account.remaining(),
     )
-    return min(need, most)
+    return min(need, limit)
 
 
 def target_headroom(account: Account, now: float) -> int:
-    """Return the tokens that this instance should have unspent."""
-    kept = fleet_headroom(account, now)
+    """Return the tokens that this instance should hold unspent."""
+    headroom = fleet_headroom(account, now)
     if not account.others():
-        kept = min(kept, FIRST_PART * account.prepaid)
-    return max(0, int(kept * share_of_demand(account, now)))
+        headroom = min(headroom, FIRST_INSTANCE_FRACTION * account.prepaid)
+    return max(0, int(headroom * share_of_demand(account, now)))
 
 
 def plan_borrowed_headroom(account: Account, now: float) -> int:
-    """Return what an instance without an allotment should have from lenders.
+    """Return the headroom that an instance without an allotment should borrow.
 
-    Such instances are many, and each sees few requests: what they hold is missing where
-    the next request comes. So one request counts for what it is, not as the first of a
-    series, and where little is left, little of it is held.
+    There are many such instances, each with few requests, and tokens that one of them
+    holds are missing at the instance that gets the next request. So a single request
+    does not count as the start of a series, and less is held if few tokens remain.
     """
-    ahead = account.policy.ahead_seconds * account.demand.mean_rate(now)
-    return int(min(ahead, max_borrowed(account, now)))
+    headroom = account.policy.ahead_seconds * account.demand.mean_rate(now)
+    return int(min(headroom, max_borrowed(account, now)))
 
 
 def max_borrowed(account: Account, now: float) -> float:
-    """Return the tokens that such an instance may hold without need for them.
+    """Return the most headroom that an instance without an allotment may hold.
 
-    It is the instance's part, by its part of the demand, of what all may keep ahead, if
-    a request fits into that; what is less would lie idle.
+    This is its share, by demand, of a fraction of the remaining tokens. If its largest
+    request does not fit into that share, the policy's minimum applies.
     """
     remaining = max(0, account.remaining())
-    fair = account.policy.most_of_left * remaining * part_of_demand(account, now)
-    least = account.policy.borrowed_of_left * remaining
-    return fair if fair >= max(least, account.demand.largest) else least
+    share = (
+        account.policy.most_of_left * remaining * borrower_share_of_demand(account, now)
+    )
+    minimum = account.policy.borrowed_of_left * remaining
+    return share if share >= max(minimum, account.demand.largest) else minimum
 
 
-def part_of_demand(account: Account, now: float) -> float:
-    """Return the part of a workspace's demand that such an instance sees.
+def borrower_share_of_demand(account: Account, now: float) -> float:
+    """Return the fraction of a workspace's demand at an instance without an allotment.
 
-    What it borrows is in the rates of its lenders, so these hold the demand of all; it
-    sees none of a demand that no row tells of yet.
+    Its own demand is included in the rates of its lenders, so these sum up to the
+    demand of the fleet. The result is 0 while the row has no rates.
     """
-    others = sum(one.rate for one in account.others().values())
+    others = sum(allotment.rate for allotment in account.others().values())
     own = account.demand.mean_rate(now)
     return own / max(own, others) if others and own else 0.0
 
 
 def plan_top_up(account: Account, now: float) -> int:
-    """Return what such an instance should borrow before a request needs it.
+    """Return what an instance without an allotment should borrow ahead of requests.
 
-    While nothing can be reached it serves from what it has; without this that is what
-    requests have left of the last loan, half of its plan on average.
+    This raises the tokens with which it serves requests while it cannot reach lenders.
     """
-    keep = plan_borrowed_headroom(account, now)
-    lacking = keep - account.unspent
-    if keep < account.demand.largest or account.unspent >= TOP_UP_PART * keep:
+    planned = plan_borrowed_headroom(account, now)
+    missing = planned - account.unspent
+    if planned < account.demand.largest or account.unspent >= TOP_UP_FRACTION * planned:
         return 0
-    return lacking
+    return missing
 
 
 def plan_return(account: Account, now: float) -> int:
-    """Return the tokens that such an instance should hand back to a lender."""
-    keep = plan_borrowed_headroom(account, now)
+    """Return the tokens that an instance without an allotment should return."""
+    planned = plan_borrowed_headroom(account, now)
     if not account.policy.return_surplus:
         return 0
-    surplus = account.unspent - keep
+    surplus = account.unspent - planned
     worth_returning = account.policy.return_part * account.demand.largest
-    least = min(worth_returning, max_borrowed(account, now))
-    return surplus if surplus > least else 0
+    minimum = min(worth_returning, max_borrowed(account, now))
+    return surplus if surplus > minimum else 0
 
 
-def ordinary_headroom(account: Account) -> int:
-    """Return the most headroom for other than small requests.
+def max_large_request_headroom(account: Account) -> int:
+    """Return the largest headroom for requests that are not small.
 
-    The part for small ones stays in the row, where no death strands it.
+    The tokens for small requests stay in the row, where a crash cannot lose them.
     """
-    most = account.max_headroom()
-    return max(0, min(account.unspent, most), most - account.last_part)
+    limit = account.max_headroom()
+    return max(0, min(account.unspent, limit), limit - account.withheld)
 
 
-def lent_at_most(account: Account) -> int:
-    """Return the tokens that other instances could lend, by the row."""
-    return sum(one.unspent for one in account.others().values())
+def lendable_tokens(account: Account) -> int:
+    """Return the tokens that other instances can lend, according to the row."""
+    return sum(allotment.unspent for allotment in account.others().values())
 
 
 def request_tokens(account: Account, tokens: int) -> None:
-    """Note that a request waits for tokens.
+    """Record that a request waits for tokens.
 
-    The most that is waited for counts, unless the row has nothing for it: a large
-    request that can only be refused must not keep the last tokens from small ones.
+    The largest waiting request determines the plan, unless the row has no tokens for
+    it: a large request that has to be refused must not block small ones.
     """
-    if _room_for(account, account.requested) <= account.unspent:
+    if _max_headroom_for(account, account.requested) <= account.unspent:
         account.requested = 0
     account.requested = max(account.requested, tokens)
 
 
-def _room_for(account: Account, tokens: int) -> int:
-    """Return the most headroom that the row has for a request of some size."""
+def _max_headroom_for(account: Account, tokens: int) -> int:
+    """Return the largest headroom that the row has for a request of this size."""
     if account.is_small(tokens):
         return account.max_headroom()
-    return ordinary_headroom(account)
+    return max_large_request_headroom(account)
 
 
 def plan_headroom(account: Account, now: float) -> int | None:
-    """Return the headroom that should be written, ``None`` if nothing is worth it."""
+    """Return the headroom to write, ``None`` if no write is worthwhile."""
     target = target_headroom(account, now)
     unspent = account.unspent
-    most = account.max_headroom()
-    ordinary = ordinary_headroom(account)
-    if account.has_earlier_life:
-        # Closed at once, also where nothing is to be had: until then what it held
-        # counts as left, and large requests take the part that is kept for small ones.
-        return min(ordinary, target)
-    if account.lowering:
-        return min(most, max(unspent, target))
+    limit = account.max_headroom()
+    large_request_limit = max_large_request_headroom(account)
+    if account.has_earlier_incarnation:
+        # Closes the earlier incarnation even if no tokens are available. Until then
+        # large requests could use the tokens for small ones.
+        return min(large_request_limit, target)
+    if account.has_pending_decrease:
+        return min(limit, max(unspent, target))
     if account.free() < 0:
-        return min(unspent, most) if unspent > most else None
-    room = _room_for(account, account.requested)
-    if unspent < account.requested <= room:
-        return max(min(ordinary, target), account.requested)
-    if unspent < room < account.requested <= room + lent_at_most(account):
-        # The rest is borrowed. Otherwise a request that fits into what is left could be
-        # refused for ever, with some of it in the row and some with each instance.
-        return room
-    if unspent < LOW_PART * target and ordinary > unspent:
-        return min(ordinary, target)
+        return min(unspent, limit) if unspent > limit else None
+    available = _max_headroom_for(account, account.requested)
+    if unspent < account.requested <= available:
+        return max(min(large_request_limit, target), account.requested)
+    if unspent < available < account.requested <= available + lendable_tokens(account):
+        # Takes everything free and borrows the rest: neither the row nor the lenders
+        # alone have enough for the request.
+        return available
+    if unspent < REFILL_FRACTION * target and large_request_limit > unspent:
+        return min(large_request_limit, target)
     surplus = unspent - target if account.policy.return_surplus else 0
-    if surplus > max(HIGH_PART * target, WORTH_RETURNING * account.prepaid):
+    if surplus > max(SURPLUS_FRACTION * target, MIN_RETURN_FRACTION * account.prepaid):
         return target
     return None
--- a/packages/pondquay/src/pondquay/budgets/holder.py
+++ b/packages/pondquay/src/pondquay/budgets/holder.py
@@ -1,7 +1,8 @@
-"""The holder's side of grants: what an instance may still spend, and on what.
+"""The holder's side of grants: its unspent tokens and its attempts.
 
-A holder reserves the most that an attempt can cost, tells the witness, and makes the
-attempt only after the witness has acknowledged it. See ``docs/design/budgets.md``.
+A holder reserves the most that an attempt can cost, reports the attempt to the witness
+and starts it only after the witness has acknowledged it. See
+``docs/design/budgets.md``.
 """
 
 from __future__ import annotations
@@ -26,20 +27,20 @@
 class Holder:
     """All grants that one instance holds.
 
-    :param instance: the instance, in this one of its lives
+    :param instance: this incarnation of the instance
     """
 
     def __init__(self, instance: InstanceId) -> None:
         self.instance = instance
         self.holdings: dict[GrantId, Holding] = {}
         self._next_number = 1
-        # Ended attempts whose bills are not known to be in the table, oldest first.
+        # Settled attempts whose bills may not be in the table yet, oldest first.
         self._unflushed: dict[AttemptId, Attempt] = {}
-        # Ended attempts that need nothing more while their grant is open.
+        # Settled attempts that can be dropped while their grant is open.
         self._finished: dict[AttemptId, Attempt] = {}
 
     def open(self, workspace: str, witness: InstanceId | None) -> Holding:
-        """Begin a grant; it can be drawn on once the table has granted it."""
+        """Create a grant; it can be used once the table has granted tokens for it."""
         grant = GrantId(self.instance, self._next_number)
         self._next_number += 1
         holding = Holding(grant, workspace, witness)
@@ -47,21 +48,27 @@
         return holding
 
     def of_workspace(self, workspace: str) -> list[Holding]:
-        """Return the grants of one workspace, in the order they were begun."""
-        return [one for one in self.holdings.values() if one.workspace == workspace]
+        """Return the grants of one workspace in the order of their creation."""
+        return [
+            holding
+            for holding in self.holdings.values()
+            if holding.workspace == workspace
+        ]
 
     def count_open(self) -> int:
-        """Return how many grants may be drawn on."""
-        return sum(one.state is HoldingState.OPEN for one in self.holdings.values())
+        """Return the number of usable grants."""
+        return sum(
+            holding.state is HoldingState.OPEN for holding in self.holdings.values()
+        )
 
     def list_holdings(self) -> list[Holding]:
-        """Return all grants as they are now, so that some may go meanwhile."""
+        """Return a copy of the list of grants, so that grants may be dropped."""
         return list(self.holdings.values())
 
     def set_amount(self, grant: GrantId, amount: int, *, lost: bool = False) -> None:
-        """Take over the amount that the table holds for a grant.
+        """Apply the amount that the table has for a grant.
 
-        :param lost: the grant no longer stands open in the table
+        :param lost: whether the grant is no longer open in the table
         """
         holding = self.holdings[grant]
         if lost and holding.state in (HoldingState.OPENING, HoldingState.OPEN):
@@ -72,16 +79,16 @@
             holding.state = HoldingState.OPEN
 
     def drop_unopened(self, grant: GrantId) -> None:
-        """Forget a grant of which the table granted nothing, and never will."""
+        """Drop a grant for which the table granted nothing and never will."""
         if self.holdings[grant].state is HoldingState.OPENING:
             del self.holdings[grant]
 
     def shrink(self, grant: GrantId, tokens: int) -> int:
-        """Stop counting on tokens that will be given back; return how many."""
+        """Deduct tokens from a grant before they are returned; return how many."""
         holding = self.holdings[grant]
-        given = min(tokens, holding.free)
-        holding.amount -= given
-        return given
+        returned = min(tokens, holding.free)
+        holding.amount -= returned
+        return returned
 
     def reserve(
         self,
@@ -91,21 +98,21 @@
         usable: Callable[[InstanceId | None], bool],
         boot: str = "",
     ) -> Attempt | None:
-        """Reserve tokens for one attempt, from the fullest grant that can bear them.
+        """Reserve tokens for one attempt from the usable grant with most free tokens.
 
         :param tokens: the most that the attempt can cost
-        :param usable: tells whether a witness can be reached
-        :param boot: the life of the upstream
-        :returns: the attempt, ``None`` if no grant has so much left
+        :param usable: returns whether a witness can be reached
+        :param boot: the incarnation of the upstream
+        :returns: the attempt, ``None`` if no grant has enough free tokens
         """
         fitting = [
-            one
-            for one in self.of_workspace(request.workspace)
-            if one.free >= tokens and usable(one.witness)
+            candidate
+            for candidate in self.of_workspace(request.workspace)
+            if candidate.free >= tokens and usable(candidate.witness)
         ]
         if not fitting:
             return None
-        holding = max(fitting, key=lambda one: one.free)
+        holding = max(fitting, key=lambda candidate: candidate.free)
         attempt_id = AttemptId(holding.id, holding.next_seq)
         holding.next_seq += 1
         stream = name_stream(request, attempt_id)
@@ -119,12 +126,12 @@
         return attempt
 
     def find(self, attempt: AttemptId) -> Attempt | None:
-        """Return an attempt whose end is not in the table yet."""
+        """Return an attempt whose outcome is not in the table yet."""
         holding = self.holdings.get(attempt.grant)
         return None if holding is None else holding.attempts.get(attempt.seq)
 
     def acknowledge(self, grant: GrantId, seqs: tuple[int, ...]) -> list[Attempt]:
-        """Note that the witness knows of attempts; return those that may now run."""
+        """Record acknowledgements of the witness; return attempts that may now run."""
         holding = self.holdings.get(grant)
         if holding is None or holding.state is not HoldingState.OPEN:
             return []
@@ -137,9 +144,9 @@
         return ready
 
     def refuse(self, grant: GrantId) -> list[Attempt]:
-        """Note that the witness sealed the grant; return attempts that will not run.
+        """Record that the witness refused a grant; return attempts that will not run.
 
-        They were never acknowledged, so nothing of them was or will be dispatched.
+        They were never acknowledged, so they are never dispatched.
         """
         holding = self.holdings.get(grant)
         if holding is None:
@@ -147,30 +154,32 @@
         return self.begin_close(holding)
 
     def begin_close(self, holding: Holding) -> list[Attempt]:
-        """Never draw on a grant again; return attempts that will not run."""
+        """Stop the use of a grant; return attempts that will not run."""
         if holding.state in (HoldingState.OPENING, HoldingState.OPEN):
             holding.state = HoldingState.CLOSING
         refused = [
-            one
-            for one in holding.attempts.values()
-            if one.state is AttemptState.INTENDED
+            attempt
+            for attempt in holding.attempts.values()
+            if attempt.state is AttemptState.INTENDED
         ]
-        for attempt in refused:
-            self.settle(attempt.id, None)
+        for refused_attempt in refused:
+            self.settle(refused_attempt.id, None)
         return refused
 
     def settle(self, attempt_id: AttemptId, billed: int | None) -> int | None:
-        """Note how an attempt ended and free what it did not use.
+        """Record how an attempt ended and release its unused tokens.
 
         :param billed: tokens to bill, ``None`` if the attempt is not billed
-        :returns: what is billed: never more than was reserved
+        :returns: the tokens billed, at most those reserved
         :raises InvariantError: if an attempt that was never acknowledged is billed
         """
         attempt = self.find(attempt_id)
         if attempt is None or attempt.state is AttemptState.SETTLED:
             return None
         if attempt.state is AttemptState.INTENDED and billed is not None:
-            raise InvariantError(f"attempt {attempt_id} ran without its witness")
+            raise InvariantError(
+                f"attempt {attempt_id} is billed without acknowledgement"
+            )
         holding = self.holdings[attempt_id.grant]
         attempt.state = AttemptState.SETTLED
         holding.reserved -= attempt.reserve
@@ -183,7 +192,7 @@
         return attempt.billed
 
     def take_messages(self, witness: InstanceId) -> list[HolderMessage]:
-        """Return what a witness has not been told since the last connection."""
+        """Return the messages that were not yet sent to a witness."""
         messages: list[HolderMessage] = []
         for holding in self.holdings.values():
             if holding.witness == witness:
@@ -191,35 +200,40 @@
         return messages
 
     def requeue_unconfirmed(self, witness: InstanceId) -> None:
-        """Send everything unanswered again on the next connection to a witness."""
+        """Queue everything unconfirmed to be sent to a witness again."""
         for holding in self.holdings.values():
             if holding.witness == witness:
-                holding.unsent.update(holding.unanswered())
+                holding.unsent.update(holding.unconfirmed())
 
     def note_witnessed(self, grant: GrantId, seqs: tuple[int, ...]) -> list[Attempt]:
-        """Note that the witness keeps ends of attempts; return those attempts."""
+        """Record that the witness has the outcomes of attempts; return the attempts."""
         holding = self.holdings.get(grant)
         if holding is None:
             return []
-        kept = []
+        witnessed = []
         for seq in seqs:
             attempt = holding.attempts.get(seq)
             if attempt is not None and attempt.state is AttemptState.SETTLED:
                 attempt.witnessed = True
-                kept.append(attempt)
+                witnessed.append(attempt)
                 self._note_if_finished(attempt)
-        return kept
+        return witnessed
 
-    def unflushed(self, most: int) -> list[Attempt]:
-        """Return ended attempts whose bills are not yet known to be in the table."""
-        return list(islice(self._unflushed.values(), most))
+    def unflushed(self, max_count: int) -> list[Attempt]:
+        """Return settled attempts whose bills may not be in the table yet.
+
+        :param max_count: the most attempts to return
+        """
+        return list(islice(self._unflushed.values(), max_count))
 
     def list_unwitnessed(self) -> set[AttemptId]:
-        """Return ended attempts whose bill is neither in the table nor at a witness."""
-        return {one.id for one in self._unflushed.values() if not one.witnessed}
+        """Return settled attempts whose bill may be neither stored nor at a witness."""
+        return {
+            attempt.id for attempt in self._unflushed.values() if not attempt.witnessed
+        }
 
     def note_flushed(self, attempts: list[Attempt]) -> None:
-        """Note that the bills of attempts are in the table."""
+        """Record that the bills of attempts are in the table."""
         for attempt in attempts:
             attempt.flushed = True
             self._unflushed.pop(attempt.id, None)
@@ -233,10 +247,10 @@
             self._finished[attempt.id] = attempt
 
     def take_finished(self) -> list[tuple[InstanceId, Flushed]]:
-        """Drop attempts that need nothing more; return word for their witnesses.
+        """Drop finished attempts; return messages for their witnesses.
 
-        What ended while its grant is being closed may stand in the grant's row, so it
-        is kept until it is settled there.
+        An attempt that ended while its grant is being closed may be held in the grant's
+        row, so it is kept until it is settled there.
         """
         finished, self._finished = self._finished, {}
         by_grant: dict[GrantId, list[int]] = {}
@@ -253,26 +267,31 @@
         ]
 
     def describe_close(self, holding: Holding, segment: str) -> Closing:
-        """Return what is known of a grant that is about to be closed in the table."""
+        """Return the state of a grant, to close it in the table."""
         held = {
-            one.id.seq: HeldIntent(
-                str(one.request), one.reserve, one.upstream, one.stream, one.boot
+            attempt.id.seq: HeldIntent(
+                str(attempt.request),
+                attempt.reserve,
+                attempt.upstream,
+                attempt.stream,
+                attempt.boot,
             )
-            for one in holding.running()
+            for attempt in holding.running()
         }
         bills = tuple(
-            one.bill
-            for one in holding.settled()
-            if one.bill is not None and not one.flushed
+            attempt.bill
+            for attempt in holding.settled()
+            if attempt.bill is not None and not attempt.flushed
         )
         return Closing(
             holding.workspace, holding.id, holding.spent, held, bills, segment
         )
 
     def note_closed(self, holding: Holding, written: list[Attempt]) -> Forget | None:
-        """Note that a grant is closed and that the ends given are in the table.
+        """Record that a grant is closed in the table.
 
-        :returns: word for the witness, if the grant has one
+        :param written: attempts whose outcomes are in the table
+        :returns: a message for the witness, ``None`` if the grant has none
         """
         holding.state = HoldingState.CLOSED
         for attempt in written:
@@ -290,12 +309,14 @@
 def _take_holding_messages(holding: Holding) -> list[HolderMessage]:
     unsent, holding.unsent = holding.unsent, {}
     intents = tuple(
-        one.intent for one in unsent.values() if one.state is AttemptState.INTENDED
+        attempt.intent
+        for attempt in unsent.values()
+        if attempt.state is AttemptState.INTENDED
     )
     settlements = tuple(
-        SettlementMessage(one.id.seq, one.request, one.billed)
-        for one in unsent.values()
-        if one.state is AttemptState.SETTLED
+        SettlementMessage(attempt.id.seq, attempt.request, attempt.billed)
+        for attempt in unsent.values()
+        if attempt.state is AttemptState.SETTLED
     )
     messages: list[HolderMessage] = []
     if intents:
--- a/packages/pondquay/src/pondquay/budgets/holdings.py
+++ b/packages/pondquay/src/pondquay/budgets/holdings.py
@@ -1,4 +1,4 @@
-"""A grant in the hands of its holder, and the attempts that draw on it."""
+"""The holder's state of a grant and of the attempts that use it."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 
 class HoldingState(StrEnum):
-    """What a grant can still be used for, as its holder knows it.
+    """The state of a grant as known to its holder.
 
-    ``OPENING``: asked for, outcome not known; ``OPEN``: may be drawn on;
-    ``CLOSING``: never drawn on again, not yet closed in the table;
-    ``CLOSED``: closed in the table, ends of its attempts may still come.
+    ``OPENING``: requested, outcome unknown; ``OPEN``: usable;
+    ``CLOSING``: no longer used, but not yet closed in the table;
+    ``CLOSED``: closed in the table, but its attempts may still be running.
     """
 
     OPENING = "opening"
@@ -31,7 +31,11 @@
 
 
 class AttemptState(StrEnum):
-    """How far an attempt has come."""
+    """The progress of an attempt.
+
+    ``INTENDED``: reserved, not yet acknowledged by the witness; ``ACKNOWLEDGED``: may
+    run; ``SETTLED``: its outcome is known.
+    """
 
     INTENDED = "intended"
     ACKNOWLEDGED = "acknowledged"
@@ -40,11 +44,13 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """One attempt, from its reservation until its end is in the table.
+    """One attempt, from its reservation until its outcome is in the table.
 
-    :param billed: tokens to bill, ``None`` while not known or if not billed
-    :param witnessed: the witness keeps the end of this attempt
-    :param flushed: the table has the bill of this attempt
+    :param reserve: the most tokens that the attempt can cost
+    :param boot: the incarnation of the upstream
+    :param billed: tokens to bill, ``None`` if unknown or not billed
+    :param witnessed: whether the witness has confirmed the outcome
+    :param flushed: whether the bill is in the table
     """
 
     id: AttemptId
@@ -60,7 +66,7 @@
 
     @property
     def intent(self) -> Intent:
-        """What the witness is told of this attempt."""
+        """The message to the witness about this attempt."""
         return Intent(
             self.id.seq,
             self.request,
@@ -72,7 +78,7 @@
 
     @property
     def bill(self) -> Bill | None:
-        """The bill, if there is one."""
+        """The bill, ``None`` if the attempt is not billed."""
         if self.billed is None:
             return None
         return make_bill(self.request, self.id, self.billed)
@@ -80,15 +86,16 @@
 
 @dataclass(slots=True)
 class Holding:
-    """A grant in the hands of its holder.
-
-    :param amount: tokens granted; taken down before tokens are given back
-    :param spent: tokens used for good
-    :param demand: tokens an hour that the row says are spent here
-    :param reported: tokens that the row says are spent for good
-    :param reserved: tokens kept for attempts that have not ended
-    :param attempts: attempts whose end is not yet in the table, by sequence
-    :param unsent: those of them that the witness is still to be told of
+    """A grant with its attempts, as known to its holder.
+
+    :param amount: tokens granted; reduced before tokens are returned
+    :param spent: tokens billed
+    :param next_seq: sequence number of the next attempt
+    :param demand: tokens spent per hour, as stored in the row
+    :param reported: tokens billed, as stored in the row
+    :param reserved: tokens reserved for running attempts
+    :param attempts: attempts whose outcome is not yet in the table, by sequence number
+    :param unsent: those whose current state is not yet sent to the witness
     """
 
     id: GrantId
@@ -112,24 +119,26 @@
         return max(0, self.amount - self.spent - self.reserved)
 
     def running(self) -> Iterator[Attempt]:
-        """Return the attempts that have not ended."""
+        """Return the attempts that are not settled."""
         return (
-            one
-            for one in self.attempts.values()
-            if one.state is not AttemptState.SETTLED
+            attempt
+            for attempt in self.attempts.values()
+            if attempt.state is not AttemptState.SETTLED
         )
 
-    def unanswered(self) -> dict[int, Attempt]:
-        """Return the attempts whose present state the witness has not confirmed."""
+    def unconfirmed(self) -> dict[int, Attempt]:
+        """Return the attempts whose current state the witness has not confirmed."""
         return {
-            seq: one
-            for seq, one in self.attempts.items()
-            if one.state is AttemptState.INTENDED
-            or (one.state is AttemptState.SETTLED and not one.witnessed)
+            seq: attempt
+            for seq, attempt in self.attempts.items()
+            if attempt.state is AttemptState.INTENDED
+            or (attempt.state is AttemptState.SETTLED and not attempt.witnessed)
         }
 
     def settled(self) -> Iterator[Attempt]:
-        """Return the attempts that have ended and are not in the table."""
+        """Return the settled attempts that are not yet in the table."""
         return (
-            one for one in self.attempts.values() if one.state is AttemptState.SETTLED
+            attempt
+            for attempt in self.attempts.values()
+            if attempt.state is AttemptState.SETTLED
         )
--- a/packages/pondquay/src/pondquay/budgets/lenders.py
+++ b/packages/pondquay/src/pondquay/budgets/lenders.py
@@ -1,8 +1,8 @@
-"""Which instances hold a workspace's allotments, and lend from them to the others.
+"""Chooses the instances that hold allotments of a workspace and lend to the others.
 
-In a small fleet all do. In a larger one the row would have too many writers, so a few
-instances of each domain do, chosen by rendezvous hashing: all agree without a message,
-and each instance does it for its part of the workspaces.
+In a small fleet all instances do. In a larger one the row would have too many writers,
+so rendezvous hashing chooses a few instances of each failure domain: all instances
+agree without messages, and the workspaces are spread over the fleet.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-LENDERS_OF_DOMAIN = 2
+LENDERS_PER_DOMAIN = 2
 
 
 def choose_lenders(
@@ -26,8 +26,8 @@
 ) -> frozenset[str]:
     """Return the instances that hold allotments of a workspace.
 
-    :param domains: the domain of each instance of the fleet
-    :param most_holders: instances up to which all hold some
+    :param domains: the failure domain of each instance of the fleet
+    :param most_holders: the largest fleet in which all instances hold allotments
     """
     if len(domains) <= most_holders:
         return frozenset(domains)
@@ -36,6 +36,8 @@
         by_domain[domain].append(instance)
     chosen: set[str] = set()
     for members in by_domain.values():
-        ranked = sorted(members, key=lambda one: score_pair(workspace, one))
-        chosen.update(ranked[:LENDERS_OF_DOMAIN])
+        ranked = sorted(
+            members, key=lambda instance_name: score_pair(workspace, instance_name)
+        )
+        chosen.update(ranked[:LENDERS_PER_DOMAIN])
     return frozenset(chosen)
--- a/packages/pondquay/src/pondquay/budgets/manager.py
+++ b/packages/pondquay/src/pondquay/budgets/manager.py
@@ -1,9 +1,10 @@
-"""The holder's programs: refilling, giving back, closing, and writing bills.
+"""The holder's programs: refill, return and close grants, and write bills.
 
-They join what the holder knows (:mod:`pondquay.budgets.holder`) with the table. All
-are generators, so a pause or a crash can be tried between any two of their steps. At
-most one of :meth:`GrantManager.refill`, :meth:`~GrantManager.maintain` and
-:meth:`~GrantManager.close_all` may be under way at a time; flushing may always be.
+They synchronize the holder's state (:mod:`pondquay.budgets.holder`) with the table. All
+are generators, so tests can inject a pause or a crash between any two steps. At most
+one of :meth:`GrantManager.refill`, :meth:`~GrantManager.maintain` and
+:meth:`~GrantManager.close_all` may run at a time; :meth:`~GrantManager.flush` may
+always run.
 """
 
 from __future__ import annotations
@@ -14,14 +15,14 @@
 from pondquay.billing.bills import segment_key
 from pondquay.billing.programs import Written, write_segment
 from pondquay.budgets.closer import GrantCloser, MaintenanceResult
-from pondquay.budgets.demands import SECONDS_AN_HOUR, DemandBook
+from pondquay.budgets.demands import SECONDS_PER_HOUR, DemandTracker
 from pondquay.budgets.holdings import Attempt, Holding, HoldingState
 from pondquay.budgets.programs import (
     Adjusted,
     Adjustment,
     AdjustmentsUnknown,
     adjust_grants,
-    learn_adjustments,
+    resolve_adjustments,
 )
 from pondquay.budgets.rows import budget_key, load_budget
 from pondquay.tables import Unreachable, read_rows
@@ -39,11 +40,12 @@
 
 MAX_BILLS = 200
 MAX_ADJUSTMENTS = 50
-REPORT_DRIFT = 0.05
+# Relative change of a grant's figures from which its row is updated.
+REPORT_DRIFT_FRACTION = 0.05
 
 
 class RefillResult(StrEnum):
-    """What a request for more tokens came to."""
+    """The result of a refill for one workspace."""
 
     GAINED = "gained"
     GRANT_LOST = "grant-lost"
@@ -52,18 +54,19 @@
 
 
 class GrantManager:
-    """Everything an instance does with its grants.
+    """Manages the grants of one instance in the table.
 
-    :param holder: the grants themselves
-    :param policy: how many tokens to keep at hand
-    :param directory: who can be a witness
+    :param holder: the grants of the instance
+    :param policy: decides how many tokens the instance holds
+    :param directory: lists the possible witnesses
+    :ivar unknown: adjustments whose outcome is unknown
     """
 
     def __init__(
         self, holder: Holder, policy: GrantPolicy, directory: WitnessDirectory
     ) -> None:
         self.holder = holder
-        self.demands = DemandBook()
+        self.demands = DemandTracker()
         self.unknown: list[Adjustment] = []
         self._policy = policy
         self._directory = directory
@@ -72,39 +75,41 @@
         self._probing = False
 
     def _decide(self, workspace: str, requested: int) -> int:
-        """Return the tokens that the policy would add, negative to give back."""
+        """Return the tokens that the policy adds, negative to return some."""
         holdings = self.holder.of_workspace(workspace)
         instances = self._directory.count() + 1
         view = self.demands.view(workspace, requested, holdings, instances)
         return self._policy.decide(view)
 
-    # Refilling and giving back
+    # Refills and returns
 
     def is_usable(self, witness: InstanceId | None) -> bool:
-        """Tell whether a grant with this witness can be drawn on now."""
+        """Return whether a grant with this witness is usable now."""
         return witness is None or self._directory.is_usable(witness)
 
     def refill(
         self, requested: Mapping[str, Sequence[int]]
     ) -> Program[dict[str, RefillResult]]:
-        """Ask for what waiting requests need, for all workspaces in one transaction.
+        """Request the tokens for waiting requests of all workspaces in one transaction.
 
         :param requested: tokens of each waiting request, by workspace
         """
         yield from self._read_budgets(requested)
         planned = [
-            one
+            adjustment
             for workspace, tokens in requested.items()
-            for one in self._plan_refill(workspace, tokens)
+            for adjustment in self._plan_refill(workspace, tokens)
         ]
         return (yield from self._adjust(planned))
 
     def _read_budgets(self, workspaces: Iterable[str]) -> Program[None]:
-        """Read budgets that are not known yet, so that a first grant is well sized."""
-        missing = [one for one in workspaces if self.demands.find(one).budget is None]
+        """Read budgets that are not known yet, to size the first grants."""
+        missing = [
+            name for name in workspaces if self.demands.find(name).budget is None
+        ]
         if not missing:
             return
-        rows = yield from read_rows(*(budget_key(one) for one in missing))
+        rows = yield from read_rows(*(budget_key(name) for name in missing))
         if isinstance(rows, Unreachable):
             return
         for workspace in missing:
@@ -118,13 +123,13 @@
             yield from self._adjust(planned)
 
     def handle_recall(self, recall: Recall) -> Program[None]:
-        """Give back half of what is at hand, as an instance that has nothing asks.
+        """Return half of the free tokens because another instance needs some.
 
-        The half is never less than what was asked for, if there is so much.
+        At least the requested tokens are returned, or all that are free.
         """
         own = self.holder.of_workspace(recall.workspace)
-        at_hand = sum(one.free for one in own)
-        tokens = min(at_hand, max(at_hand // 2, recall.tokens))
+        free = sum(holding.free for holding in own)
+        tokens = min(free, max(free // 2, recall.tokens))
         if tokens:
             yield from self.return_tokens(recall.workspace, tokens)
 
@@ -133,17 +138,23 @@
         holding = self._choose_holding(workspace)
         decided = self._decide(workspace, requested)
         merged = self._merge(workspace, holding)
-        delta = max(requested, decided) + sum(-one.delta for one in merged)
-        least = min(tokens) - holding.free
-        return [*merged, self._adjustment(holding, delta, max(1, least))]
+        delta = max(requested, decided) + sum(
+            -adjustment.delta for adjustment in merged
+        )
+        smallest = min(tokens) - holding.free
+        return [*merged, self._adjustment(holding, delta, max(1, smallest))]
 
     def _merge(self, workspace: str, target: Holding) -> list[Adjustment]:
-        """Give back what other grants of the workspace have left.
+        """Return the free tokens of the other grants of the workspace.
 
-        A request must fit into one grant; what lies in several may not suffice.
+        A request has to fit into one grant.
         """
-        others = [one for one in self.holder.of_workspace(workspace) if one != target]
-        return self._plan_return(others, sum(one.free for one in others))
+        others = [
+            holding
+            for holding in self.holder.of_workspace(workspace)
+            if holding != target
+        ]
+        return self._plan_return(others, sum(holding.free for holding in others))
 
     def _plan_return(
         self, holdings: Sequence[Holding], tokens: int
@@ -152,10 +163,10 @@
         for holding in holdings:
             if self._is_pending(holding):
                 continue
-            given = self.holder.shrink(holding.id, tokens)
-            if given:
-                planned.append(self._adjustment(holding, -given))
-                tokens -= given
+            returned = self.holder.shrink(holding.id, tokens)
+            if returned:
+                planned.append(self._adjustment(holding, -returned))
+                tokens -= returned
         return planned
 
     def _adjustment(
@@ -176,60 +187,60 @@
         )
 
     def _demand_of(self, holding: Holding) -> int:
-        """Return the tokens an hour to report for a grant."""
+        """Return the tokens per hour to report for a grant."""
         rate = self.demands.find(holding.workspace).rate
         shares = len(self.holder.of_workspace(holding.workspace))
-        return int(rate * SECONDS_AN_HOUR / max(1, shares))
+        return int(rate * SECONDS_PER_HOUR / max(1, shares))
 
     def _choose_holding(self, workspace: str) -> Holding:
-        """Return a grant that can be drawn on, or begin one."""
+        """Return a usable grant; open one if there is none."""
         usable = [
-            one
-            for one in self.holder.of_workspace(workspace)
-            if one.state in (HoldingState.OPEN, HoldingState.OPENING)
-            and self.is_usable(one.witness)
-            and not self._is_pending(one)
+            holding
+            for holding in self.holder.of_workspace(workspace)
+            if holding.state in (HoldingState.OPEN, HoldingState.OPENING)
+            and self.is_usable(holding.witness)
+            and not self._is_pending(holding)
         ]
         if usable:
-            return max(usable, key=lambda one: one.free)
+            return max(usable, key=lambda holding: holding.free)
         return self.holder.open(workspace, self._choose_witness())
 
     def _choose_witness(self) -> InstanceId | None:
-        """Return the peer of the domain that witnesses the fewest of our grants."""
+        """Return the peer of the domain that witnesses the fewest of these grants."""
         counts = dict.fromkeys(self._directory.witnesses(), 0)
         if not counts:
             return None
         for holding in self.holder.holdings.values():
             if holding.witness in counts:
                 counts[holding.witness] += 1
-        return min(counts, key=lambda one: (counts[one], one))
+        return min(counts, key=lambda peer: (counts[peer], peer))
 
     def _is_pending(self, holding: Holding) -> bool:
-        return any(one.grant == holding.id for one in self.unknown)
+        return any(adjustment.grant == holding.id for adjustment in self.unknown)
 
     def _adjust(
         self, planned: Sequence[Adjustment]
     ) -> Program[dict[str, RefillResult]]:
-        """Carry adjustments out; return what came of them for each workspace."""
-        yield from self._learn()
+        """Make adjustments; return the result for each workspace."""
+        yield from self._resolve_unknown()
         if self.unknown:
             self._undo(planned)
             return {}
         outcome = yield from adjust_grants(planned)
-        return self._take_outcome(planned, outcome)
+        return self._apply_outcome(planned, outcome)
 
-    def _learn(self) -> Program[None]:
-        """Find out about adjustments whose answer was lost."""
+    def _resolve_unknown(self) -> Program[None]:
+        """Determine the outcomes of adjustments whose response was lost."""
         if not self.unknown:
             return
         pending = tuple(self.unknown)
-        outcome = yield from learn_adjustments(pending)
+        outcome = yield from resolve_adjustments(pending)
         if isinstance(outcome, AdjustmentsUnknown | Unreachable):
             return
         self.unknown.clear()
-        self._take_outcome(pending, outcome)
+        self._apply_outcome(pending, outcome)
 
-    def _take_outcome(
+    def _apply_outcome(
         self, planned: Sequence[Adjustment], outcome: AdjustOutcome
     ) -> dict[str, RefillResult]:
         if isinstance(outcome, AdjustmentsUnknown):
@@ -239,73 +250,75 @@
             self._undo(planned)
             return {}
         results: dict[str, RefillResult] = {}
-        for one in outcome:
-            workspace = one.adjustment.workspace
-            if self._take_adjusted(one):
+        for adjusted in outcome:
+            workspace = adjusted.adjustment.workspace
+            if self._apply_adjusted(adjusted):
                 results[workspace] = RefillResult.GAINED
-            elif one.lost_grant:
+            elif adjusted.lost_grant:
                 results.setdefault(workspace, RefillResult.GRANT_LOST)
             else:
                 results.setdefault(workspace, RefillResult.EXHAUSTED)
         return results
 
     def _undo(self, planned: Sequence[Adjustment]) -> None:
-        """Take up again what was not given back, and drop grants never begun."""
-        for one in planned:
-            holding = self.holder.holdings[one.grant]
-            if one.delta < 0:
-                holding.amount -= one.delta
+        """Restore tokens that were not returned; drop grants that were not opened."""
+        for adjustment in planned:
+            holding = self.holder.holdings[adjustment.grant]
+            if adjustment.delta < 0:
+                holding.amount -= adjustment.delta
             else:
-                self.holder.drop_unopened(one.grant)
+                self.holder.drop_unopened(adjustment.grant)
 
-    def _take_adjusted(self, adjusted: Adjusted) -> bool:
-        """Take over one outcome; ``True`` if the grant gained tokens."""
-        one = adjusted.adjustment
-        self.demands.find(one.workspace).budget = adjusted.budget
-        holding = self.holder.holdings.get(one.grant)
+    def _apply_adjusted(self, adjusted: Adjusted) -> bool:
+        """Apply one outcome; return whether the grant gained tokens."""
+        adjustment = adjusted.adjustment
+        self.demands.find(adjustment.workspace).budget = adjusted.budget
+        holding = self.holder.holdings.get(adjustment.grant)
         if holding is None:
             return False
         before = holding.free
-        holding.demand = one.demand
-        holding.reported = one.used
-        self.holder.set_amount(one.grant, adjusted.amount, lost=adjusted.lost_grant)
-        if adjusted.amount == 0 and one.delta > 0:
-            self.holder.drop_unopened(one.grant)
-        return one.delta > 0 and holding.free > before
+        holding.demand = adjustment.demand
+        holding.reported = adjustment.used
+        self.holder.set_amount(
+            adjustment.grant, adjusted.amount, lost=adjusted.lost_grant
+        )
+        if adjusted.amount == 0 and adjustment.delta > 0:
+            self.holder.drop_unopened(adjustment.grant)
+        return adjustment.delta > 0 and holding.free > before
 
     # Maintenance
 
     def maintain(self, *, rebalance: bool = True) -> Program[MaintenanceResult]:
-        """Close grants that cannot be used, and keep the others as the policy says.
+        """Close unusable grants and rebalance the others.
 
-        :param rebalance: refill ahead of need and give back what is too much
+        :param rebalance: whether to refill in advance and return surplus tokens
         """
-        progress = MaintenanceResult()
-        yield from self._learn()
+        result = MaintenanceResult()
+        yield from self._resolve_unknown()
         for holding in self.holder.list_holdings():
             witness = holding.witness
-            gone = witness is not None and self._directory.is_presumed_dead(witness)
-            if holding.state is HoldingState.OPEN and gone:
-                progress.refused += self.holder.begin_close(holding)
-        yield from self._closer.close_closing(progress)
-        yield from self._closer.settle_closed(progress)
+            is_lost = witness is not None and self._directory.is_presumed_dead(witness)
+            if holding.state is HoldingState.OPEN and is_lost:
+                result.refused += self.holder.begin_close(holding)
+        yield from self._closer.close_pending(result)
+        yield from self._closer.settle_late_attempts(result)
         if rebalance:
             yield from self._rebalance()
-        return progress
+        return result
 
     def close_all(self) -> Program[MaintenanceResult]:
         """Close every grant, for a planned stop."""
-        progress = MaintenanceResult()
-        yield from self._learn()
+        result = MaintenanceResult()
+        yield from self._resolve_unknown()
         for holding in self.holder.list_holdings():
-            progress.refused += self.holder.begin_close(holding)
-        yield from self._closer.close_closing(progress)
-        yield from self._closer.settle_closed(progress)
-        return progress
+            result.refused += self.holder.begin_close(holding)
+        yield from self._closer.close_pending(result)
+        yield from self._closer.settle_late_attempts(result)
+        return result
 
     @property
     def empty(self) -> bool:
-        """Whether nothing is held and nothing is left to be learnt or written."""
+        """Whether there are neither grants nor adjustments with unknown outcomes."""
         return not self.holder.holdings and not self.unknown
 
     def _rebalance(self) -> Program[None]:
@@ -320,7 +333,7 @@
             yield from self._adjust(planned)
 
     def _plan_rebalance(self, workspace: str) -> list[Adjustment]:
-        """Refill ahead of need, give back, or only report what others size by."""
+        """Plan a refill, a return, or only a report of the grants' figures."""
         delta = self._decide(workspace, 0)
         own = self.holder.of_workspace(workspace)
         if delta > 0:
@@ -328,31 +341,33 @@
         if delta < 0:
             return self._plan_return(own, -delta)
         return [
-            self._adjustment(one, 0)
-            for one in own
-            if self._is_worth_reporting(one) and not self._is_pending(one)
+            self._adjustment(holding, 0)
+            for holding in own
+            if self._is_worth_reporting(holding) and not self._is_pending(holding)
         ]
 
     def _is_worth_reporting(self, holding: Holding) -> bool:
-        """Tell whether what the row says of a grant is out of date."""
+        """Return whether the figures in a grant's row are outdated."""
         if holding.state is not HoldingState.OPEN:
             return False
-        now = self._demand_of(holding)
-        drift = abs(now - holding.demand) > REPORT_DRIFT * max(now, holding.demand)
+        demand = self._demand_of(holding)
+        drift = abs(demand - holding.demand) > REPORT_DRIFT_FRACTION * max(
+            demand, holding.demand
+        )
         unreported = holding.spent - holding.reported
-        return drift or unreported > REPORT_DRIFT * max(holding.amount, 1)
+        return drift or unreported > REPORT_DRIFT_FRACTION * max(holding.amount, 1)
 
     # Bills
 
-    def flush(self, most: int = MAX_BILLS) -> Program[list[Attempt]]:
-        """Write the bills of ended attempts to the table in one transaction.
+    def flush(self, max_bills: int = MAX_BILLS) -> Program[list[Attempt]]:
+        """Write the bills of settled attempts to the table in one transaction.
 
-        While the table is out of reach a single bill is tried, which costs little.
+        While the table is unreachable, a single bill is written as a probe.
 
-        :returns: the attempts whose bills are safe now
+        :returns: the attempts whose bills are now in the table
         """
-        attempts = self.holder.unflushed(1 if self._probing else most)
-        bills = [one.bill for one in attempts if one.bill is not None]
+        attempts = self.holder.unflushed(1 if self._probing else max_bills)
+        bills = [attempt.bill for attempt in attempts if attempt.bill is not None]
         if bills:
             outcome = yield from write_segment(self._next_segment(), bills)
             self._probing = not isinstance(outcome, Written)
--- a/packages/pondquay/src/pondquay/budgets/messages.py
+++ b/packages/pondquay/src/pondquay/budgets/messages.py
@@ -1,4 +1,4 @@
-"""What the holder and the witness of a grant tell each other."""
+"""Messages between the holder and the witness of a grant."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 class Intent:
     """An attempt that the holder will make once the witness has acknowledged it.
 
-    :param seq: place in the sequence of the grant
+    :param seq: sequence number of the attempt in its grant
     :param reserve: the most tokens that the attempt can cost
-    :param boot: the life of the upstream in which the attempt is made; in another one
-        it knows nothing of the attempt
+    :param boot: the incarnation of the upstream at which the attempt is made; other
+        incarnations have no record of it
     """
 
     seq: int
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settlement:
-    """How an attempt ended.
+    """The outcome of an attempt.
 
     :param billed: tokens to bill, ``None`` if the attempt is not billed at all
     """
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Acknowledge:
-    """Witness to holder: these attempts are noted and may be made."""
+    """Witness to holder: these attempts are recorded and may be made."""
 
     grant: GrantId
     seqs: tuple[int, ...]
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Witness to holder: the grant is sealed or unknown here; nothing was noted."""
+    """Witness to holder: the grant is sealed or not accepted; nothing was recorded."""
 
     grant: GrantId
     kind: Literal["refuse"] = "refuse"
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settle:
-    """Holder to witness: ends of attempts. They are facts, also after sealing."""
+    """Holder to witness: outcomes of attempts, valid also after sealing."""
 
     grant: GrantId
     workspace: str
@@ -77,7 +77,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settled:
-    """Witness to holder: these ends are kept and will be billed."""
+    """Witness to holder: these outcomes are recorded and will be billed."""
 
     grant: GrantId
     seqs: tuple[int, ...]
@@ -86,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SettleRefused:
-    """Witness to holder: this grant is not kept here; write to the table instead."""
+    """Witness to holder: the grant is unknown here; write to the table instead."""
 
     grant: GrantId
     seqs: tuple[int, ...]
@@ -112,9 +112,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Recall:
-    """To all: the budget has nothing left to grant; give back what is not needed.
+    """To all instances: the budget is fully granted; return tokens not needed.
 
-    :param tokens: what a waiting request needs
+    :param tokens: tokens that a waiting request needs
     """
 
     workspace: str
@@ -128,7 +128,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OpenAttempt:
-    """An attempt that a witness knows of and whose end it does not know."""
+    """An attempt that a witness has recorded without an outcome."""
 
     grant: GrantId
     workspace: str
--- a/packages/pondquay/src/pondquay/budgets/policies.py
+++ b/packages/pondquay/src/pondquay/budgets/policies.py
@@ -1,4 +1,4 @@
-"""The interface of grant policies: how many tokens an instance keeps at hand."""
+"""The interface of grant policies, which decide how many tokens an instance holds."""
 
 from __future__ import annotations
 
@@ -10,25 +10,25 @@
 
 @dataclass(frozen=True, slots=True)
 class GrantView:
-    """What a policy is told of one workspace.
+    """The input of a policy for one workspace.
 
     :param limit: the budget's limit as last read
-    :param free: tokens of the budget that nobody holds, as last read
+    :param free: tokens of the budget that no instance holds, as last read
     :param remaining: tokens of the budget that are not known to be spent
-    :param holding: tokens that this instance can reserve now
-    :param running: tokens that this instance has reserved
-    :param rate: tokens a second that this instance spends
-    :param fleet_rate: tokens a second that all instances spend, as far as known
-    :param instances: instances that draw on the budget, as far as known
+    :param available: tokens that this instance can reserve now
+    :param reserved: tokens that this instance has reserved for running attempts
+    :param rate: tokens per second that this instance spends
+    :param fleet_rate: tokens per second that all instances spend, as far as known
+    :param instances: number of instances that spend the budget, as far as known
     :param requested: tokens that waiting requests need now
-    :param largest: the most that a recent request reserved
+    :param largest: tokens of the largest request at this instance
     """
 
     limit: int
     free: int
     remaining: int
-    holding: int
-    running: int
+    available: int
+    reserved: int
     rate: float
     fleet_rate: float
     instances: int
@@ -37,11 +37,11 @@
 
 
 class GrantPolicy(ABC):
-    """Decides how many tokens an instance asks for or gives back."""
+    """Decides how many tokens an instance requests or returns."""
 
     @abstractmethod
     def decide(self, view: GrantView) -> int:
-        """Return tokens to add, negative to give back, 0 to leave it."""
+        """Return the tokens to add, negative to return some, 0 for no change."""
 
 
 GRANT_POLICIES: Registry[GrantPolicy] = Registry("grant policy")
--- a/packages/pondquay/src/pondquay/budgets/programs.py
+++ b/packages/pondquay/src/pondquay/budgets/programs.py
@@ -1,7 +1,7 @@
 """Table programs that change the amounts of grants, and list them.
 
-Every program reads, decides and commits under the versions it read, so of two that
-race one wins and the other reads again. None of them relies on time.
+Every program reads, decides and commits under the versions that it read. If two
+programs conflict, one succeeds and the other reads again. None of them depends on time.
 """
 
 from __future__ import annotations
@@ -45,16 +45,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Adjustment:
-    """A wanted change of one grant's amount.
-
-    :param delta: tokens to add, negative to give back; a grant that does not exist
-        yet is made by the first addition
-    :param demand: tokens an hour that the holder spends
-    :param used: tokens of the grant that are spent for good
-    :param smallest: less than this is not worth adding, so nothing is added
-    :param reports: write ``demand`` and ``used`` even if the amount stays
-    :param creates: the grant is new; else one that does not stand is lost, and is
-        never made a second time
+    """A planned change of one grant's amount.
+
+    :param delta: tokens to add, negative to return; the first addition creates the
+        grant
+    :param operation: identifier of the change
+    :param demand: tokens per hour that the holder spends
+    :param used: tokens of the grant that are billed
+    :param smallest: the fewest tokens worth adding; if fewer are free, none are added
+    :param reports: whether to write ``demand`` and ``used`` if the amount is unchanged
+    :param creates: whether the grant is new; otherwise a missing grant is lost and is
+        never created again
     """
 
     workspace: str
@@ -71,11 +72,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Adjusted:
-    """What became of an adjustment.
+    """The outcome of an adjustment.
 
-    :param amount: the amount of the grant now, in tokens, 0 if it does not stand open
+    :param amount: the current amount of the grant in tokens, 0 if it is not open
     :param budget: the budget as last read, ``None`` if the workspace has none
-    :param lost_grant: the grant was open once and no longer is
+    :param lost_grant: whether the grant was open before and no longer is
     """
 
     adjustment: Adjustment
@@ -86,7 +87,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AdjustmentsUnknown:
-    """The outcome is not known: none of the tokens may be spent until it is."""
+    """The outcome of adjustments is unknown; their tokens may not be spent yet."""
 
     adjustments: tuple[Adjustment, ...]
 
@@ -120,15 +121,17 @@
     return Unreachable()
 
 
-def learn_adjustments(adjustments: Sequence[Adjustment]) -> Program[AdjustOutcome]:
-    """Find out what became of adjustments whose answer was lost.
+def resolve_adjustments(adjustments: Sequence[Adjustment]) -> Program[AdjustOutcome]:
+    """Determine the outcomes of adjustments whose response was lost.
 
-    Reading is not enough: the first sending may still be on its way. So the budget's
-    row is written anew, which makes every earlier version condition fail for good;
-    what is read then is final.
+    Reading the rows is not enough, as the original transaction may still be in transit.
+    So the budget's row is rewritten unchanged: its new version makes the conditions of
+    all earlier transactions fail, and the rows read before are final.
     """
     keys = _adjustment_keys(adjustments)
-    budgets = tuple(dict.fromkeys(budget_key(one.workspace) for one in adjustments))
+    budgets = tuple(
+        dict.fromkeys(budget_key(adjustment.workspace) for adjustment in adjustments)
+    )
     for _ in range(MAX_TRIES):
         rows = yield from read_rows(*keys)
         if isinstance(rows, Unreachable):
@@ -138,11 +141,11 @@
         if isinstance(reply, Committed):
             return tuple(
                 _find_adjusted(
-                    one,
-                    load_budget(rows.rows.get(budget_key(one.workspace))),
-                    load_grant(rows.rows.get(grant_key(one.grant))),
+                    adjustment,
+                    load_budget(rows.rows.get(budget_key(adjustment.workspace))),
+                    load_grant(rows.rows.get(grant_key(adjustment.grant))),
                 )
-                for one in adjustments
+                for adjustment in adjustments
             )
         if not isinstance(reply, Conflict):
             return AdjustmentsUnknown(tuple(adjustments))
@@ -150,8 +153,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Planned:
-    """A transaction in the making and what it will have done."""
+class _PlannedTransaction:
+    """The parts of a transaction and the outcomes if it is committed."""
 
     conditions: tuple[Condition, ...]
     writes: tuple[Write, ...]
@@ -159,81 +162,89 @@
 
 
 def _adjustment_keys(adjustments: Sequence[Adjustment]) -> tuple[str, ...]:
-    budgets = [budget_key(one.workspace) for one in adjustments]
-    grants = [grant_key(one.grant) for one in adjustments]
+    budgets = [budget_key(adjustment.workspace) for adjustment in adjustments]
+    grants = [grant_key(adjustment.grant) for adjustment in adjustments]
     return tuple(dict.fromkeys(budgets + grants))
 
 
-def _plan_adjustments(adjustments: Sequence[Adjustment], rows: Rows) -> _Planned:
+def _plan_adjustments(
+    adjustments: Sequence[Adjustment], rows: Rows
+) -> _PlannedTransaction:
     budgets: dict[str, BudgetRow] = {}
     conditions: dict[str, Condition] = {}
     writes: dict[str, Write] = {}
     adjusted: list[Adjusted] = []
-    for one in adjustments:
-        at_budget = budget_key(one.workspace)
-        at_grant = grant_key(one.grant)
-        budget = budgets.get(at_budget) or load_budget(rows.rows.get(at_budget))
-        grant = load_grant(rows.rows.get(at_grant))
-        delta = _choose_delta(one, budget, grant)
-        reports = one.reports and grant is not None
+    for adjustment in adjustments:
+        budget_row_key = budget_key(adjustment.workspace)
+        grant_row_key = grant_key(adjustment.grant)
+        budget = budgets.get(budget_row_key) or load_budget(
+            rows.rows.get(budget_row_key)
+        )
+        grant = load_grant(rows.rows.get(grant_row_key))
+        delta = _choose_delta(adjustment, budget, grant)
+        reports = adjustment.reports and grant is not None
         if budget is None or (delta == 0 and not reports):
-            adjusted.append(_find_adjusted(one, budget, grant))
+            adjusted.append(_find_adjusted(adjustment, budget, grant))
             continue
-        changed = _change_grant(one, grant, delta)
-        budget = _change_budget(one, budget, grant, delta)
-        budgets[at_budget] = budget
-        adjusted.append(Adjusted(one, changed.amount, budget))
-        for key, row in ((at_budget, budget), (at_grant, changed)):
+        changed = _change_grant(adjustment, grant, delta)
+        budget = _change_budget(adjustment, budget, grant, delta)
+        budgets[budget_row_key] = budget
+        adjusted.append(Adjusted(adjustment, changed.amount, budget))
+        for key, row in ((budget_row_key, budget), (grant_row_key, changed)):
             conditions[key] = Condition(key, rows.version(key))
             writes[key] = Write(key, dump_row(row))
-    return _Planned(tuple(conditions.values()), tuple(writes.values()), tuple(adjusted))
+    return _PlannedTransaction(
+        tuple(conditions.values()), tuple(writes.values()), tuple(adjusted)
+    )
 
 
 def _choose_delta(
-    one: Adjustment, budget: BudgetRow | None, grant: GrantRow | None
+    adjustment: Adjustment, budget: BudgetRow | None, grant: GrantRow | None
 ) -> int:
-    """Return what can be added to or taken from the grant, 0 for nothing."""
+    """Return the change that is possible for the grant, 0 for none."""
     sealed = grant is not None and grant.state is not GrantState.OPEN
     if budget is None or sealed:
         return 0
-    if grant is None and not one.creates:
+    if grant is None and not adjustment.creates:
         return 0
-    if one.delta < 0:
-        return 0 if grant is None else max(one.delta, -grant.amount)
-    delta = min(one.delta, budget.free)
-    return delta if delta >= one.smallest else 0
+    if adjustment.delta < 0:
+        return 0 if grant is None else max(adjustment.delta, -grant.amount)
+    delta = min(adjustment.delta, budget.free)
+    return delta if delta >= adjustment.smallest else 0
 
 
 def _change_budget(
-    one: Adjustment, budget: BudgetRow, grant: GrantRow | None, delta: int
+    adjustment: Adjustment, budget: BudgetRow, grant: GrantRow | None, delta: int
 ) -> BudgetRow:
     demand = 0 if grant is None else grant.demand
     used = 0 if grant is None else grant.used
     return replace(
         budget,
         granted=budget.granted + delta,
-        demand=max(0, budget.demand + one.demand - demand),
-        used=max(0, budget.used + one.used - used),
+        demand=max(0, budget.demand + adjustment.demand - demand),
+        used=max(0, budget.used + adjustment.used - used),
     )
 
 
-def _change_grant(one: Adjustment, grant: GrantRow | None, delta: int) -> GrantRow:
+def _change_grant(
+    adjustment: Adjustment, grant: GrantRow | None, delta: int
+) -> GrantRow:
     if grant is not None:
         return replace(
             grant,
             amount=grant.amount + delta,
-            operation=one.operation,
-            demand=one.demand,
-            used=one.used,
+            operation=adjustment.operation,
+            demand=adjustment.demand,
+            used=adjustment.used,
         )
     return GrantRow(
-        workspace=one.workspace,
+        workspace=adjustment.workspace,
         amount=delta,
-        holder=str(one.grant.holder),
-        witness="" if one.witness is None else str(one.witness),
-        operation=one.operation,
-        demand=one.demand,
-        used=one.used,
+        holder=str(adjustment.grant.holder),
+        witness="" if adjustment.witness is None else str(adjustment.witness),
+        operation=adjustment.operation,
+        demand=adjustment.demand,
+        used=adjustment.used,
     )
 
 
@@ -248,26 +259,26 @@
 
 
 def _find_adjusted(
-    one: Adjustment, budget: BudgetRow | None, grant: GrantRow | None
+    adjustment: Adjustment, budget: BudgetRow | None, grant: GrantRow | None
 ) -> Adjusted:
-    """Return the state of a grant as its row tells it."""
+    """Return the outcome according to the row of a grant."""
     if grant is None:
-        return Adjusted(one, 0, budget, lost_grant=not one.creates)
+        return Adjusted(adjustment, 0, budget, lost_grant=not adjustment.creates)
     if grant.state is not GrantState.OPEN:
-        return Adjusted(one, 0, budget, lost_grant=True)
-    return Adjusted(one, grant.amount, budget)
+        return Adjusted(adjustment, 0, budget, lost_grant=True)
+    return Adjusted(adjustment, grant.amount, budget)
 
 
 @dataclass(frozen=True, slots=True)
 class StoredGrant:
-    """A grant as its row stands in the table."""
+    """A grant and its row in the table."""
 
     grant: GrantId
     row: GrantRow
 
 
 def list_grants() -> Program[tuple[StoredGrant, ...] | Unreachable]:
-    """Read every grant that stands in the table."""
+    """Read all grants in the table."""
     rows = yield from read_rows(prefixes=(GRANT_PREFIX,))
     if isinstance(rows, Unreachable):
         return rows
--- a/packages/pondquay/src/pondquay/budgets/rows.py
+++ b/packages/pondquay/src/pondquay/budgets/rows.py
@@ -1,8 +1,8 @@
 """Rows of budgets and grants in the platform's table.
 
-``budget/W`` holds the limit of a workspace and how much of it was granted. Granting
-is spending as far as every other instance is concerned: ``granted <= limit`` holds in
-every transaction, so no cut, pause or outage can lead to more being spent.
+``budget/W`` holds the limit of a workspace and the tokens granted from it. To all other
+instances, granted tokens count as spent: every transaction keeps ``granted <= limit``,
+so no partition, pause or outage can lead to overspending.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class GrantState(StrEnum):
-    """Whether a grant can still be drawn on."""
+    """Whether a grant is still usable."""
 
     OPEN = "open"
     SEALED = "sealed"
@@ -33,12 +33,11 @@
 class BudgetRow:
     """The prepaid budget of one workspace, in tokens.
 
-    :param limit: what the partner paid for
-    :param granted: what was handed out in grants and has not come back; it contains
-        all that was ever spent
-    :param demand: tokens an hour that all holders together spend, as they last said
-    :param used: tokens spent for good, as holders last said; like ``demand`` it only
-        helps to size grants, and nothing that must be right relies on it
+    :param limit: tokens that the partner has paid for
+    :param granted: tokens granted and not returned, including all spent ones
+    :param demand: tokens per hour that all holders together spend, as last reported
+    :param used: tokens billed, as last reported by the holders; like ``demand`` it is
+        only used to size grants and may be inaccurate
     """
 
     limit: int
@@ -53,13 +52,16 @@
 
     @property
     def remaining(self) -> int:
-        """Tokens that are not known to be spent, granted or not."""
+        """Tokens that are not known to be billed, granted or not."""
         return max(0, self.limit - self.used)
 
 
 @dataclass(frozen=True, slots=True)
 class HeldIntent:
-    """An attempt whose outcome is not known yet, with the tokens kept for it."""
+    """An attempt whose outcome is unknown, with the tokens reserved for it.
+
+    :param boot: the incarnation of the upstream
+    """
 
     request: str
     reserve: int
@@ -70,14 +72,14 @@
 
 @dataclass(frozen=True, slots=True)
 class GrantRow:
-    """Tokens of one budget in the hands of one instance.
+    """Tokens of one budget that are granted to one instance.
 
     :param witness: the instance that acknowledges each attempt, empty if none
-    :param operation: the holder's last change of the amount
-    :param demand: tokens an hour that the holder spends, as it last said
-    :param used: tokens spent for good, as the holder last said
-    :param spent: tokens spent for good, known once the grant is sealed
-    :param held: attempts without a known outcome, by their sequence number
+    :param operation: identifier of the holder's last change of the amount
+    :param demand: tokens per hour that the holder spends, as last reported
+    :param used: tokens billed, as last reported by the holder
+    :param spent: tokens billed, known once the grant is sealed
+    :param held: attempts without a known outcome, by sequence number
     """
 
     workspace: str
@@ -93,18 +95,18 @@
 
     @property
     def witness_id(self) -> InstanceId | None:
-        """The witness as a name, if the grant has one."""
+        """The identifier of the witness, ``None`` if the grant has none."""
         return InstanceId.parse(self.witness) if self.witness else None
 
     @property
     def remainder(self) -> int:
-        """Tokens that a sealed grant has neither spent nor kept for held attempts.
+        """Tokens of a sealed grant that are neither billed nor reserved for attempts.
 
-        A witness that was not told of an end still holds its whole reserve, while the
-        holder may have reserved or given back what the attempt left. Then more is held
-        than the grant has, and nothing remains until the true costs are known.
+        If the witness has not received the outcome of an attempt, the attempt's whole
+        reserve is held, while the holder may have reserved or returned its unused
+        tokens. Then more tokens are held than the grant has, and the remainder is 0.
         """
-        held = sum(one.reserve for one in self.held.values())
+        held = sum(intent.reserve for intent in self.held.values())
         return max(0, self.amount - self.spent - held)
 
 
@@ -118,7 +120,7 @@
 
 
 def grant_key(grant: GrantId) -> str:
-    """Return the key of a grant's row; those of one holder lie together."""
+    """Return the key of a grant's row; the keys of a holder share a prefix."""
     return f"{GRANT_PREFIX}{grant}"
 
 
@@ -133,23 +135,23 @@
 
 
 def load_budget(row: Row | None) -> BudgetRow | None:
-    """Read a budget from its row.
+    """Parse the row of a budget.
 
-    :raises pydantic.ValidationError: if the row has another form
+    :raises pydantic.ValidationError: if the row is not a valid budget
     """
     return None if row is None else _BUDGET.validate_python(row.value)
 
 
 def load_grant(row: Row | None) -> GrantRow | None:
-    """Read a grant from its row.
+    """Parse the row of a grant.
 
-    :raises pydantic.ValidationError: if the row has another form
+    :raises pydantic.ValidationError: if the row is not a valid grant
     """
     return None if row is None else _GRANT.validate_python(row.value)
 
 
 def dump_row(value: BudgetRow | GrantRow) -> JsonObject:
-    """Return what is stored of a budget or grant."""
+    """Return the stored form of a budget or grant."""
     adapter: TypeAdapter[Any] = _BUDGET if isinstance(value, BudgetRow) else _GRANT
     dumped: JsonObject = adapter.dump_python(value, mode="json")
     return dumped
--- a/packages/pondquay/src/pondquay/budgets/sizing.py
+++ b/packages/pondquay/src/pondquay/budgets/sizing.py
@@ -1,56 +1,59 @@
-"""Grant policies: the naive equal split, and shares in proportion to demand."""
+"""Grant policies: a naive equal split, and shares in proportion to demand."""
 
 from __future__ import annotations
 
 from pondquay.budgets.policies import GRANT_POLICIES, GrantPolicy, GrantView
 
-RESERVE_SECONDS = 5400.0
+# Longest outage of the table that an instance's tokens should last for.
+OUTAGE_SECONDS = 5400.0
+# Smallest limit of an instance's tokens, in requests of the largest size.
 MIN_REQUESTS = 16
-SLACK = 0.05
-# Part of a budget that all instances together hold where no demand was seen yet, so
-# that each can serve if the table is away when the first request comes.
+# Fraction of the target by which an instance's tokens may differ from it.
+SLACK_FRACTION = 0.05
+# Fraction of a budget that all instances together hold before the first request, so
+# that each can serve it while the table is unreachable.
 BASE_FRACTION = 0.05
 
 
 @GRANT_POLICIES.register("equal-split")
 class EqualSplit(GrantPolicy):
-    """Naive: each instance keeps the same part of the whole budget."""
+    """Naive policy: each instance holds an equal share of the whole budget."""
 
     def decide(self, view: GrantView) -> int:
-        """Fill up to an equal part once less than a tenth of it is left."""
-        part = view.limit // max(1, view.instances)
-        if view.requested == 0 and view.holding * 10 > part:
+        """Refill to an equal share once less than a tenth of it is free."""
+        share = view.limit // max(1, view.instances)
+        if view.requested == 0 and view.available * 10 > share:
             return 0
-        return min(view.free, max(0, part - view.holding - view.running))
+        return min(view.free, max(0, share - view.available - view.reserved))
 
 
 @GRANT_POLICIES.register("proportional")
 class Proportional(GrantPolicy):
-    """Keeps what is left of the budget in proportion to each instance's demand.
+    """Splits the remaining budget in proportion to each instance's demand.
 
-    Where the budget is ample this is capped by what a long outage would use, and
-    within a slack around the target nothing is moved. Where no request was seen yet it
-    is a base.
+    The share is limited to the tokens needed during a long outage. Differences from the
+    target within a slack are ignored. Before the first request, each instance holds a
+    base.
     """
 
     def decide(self, view: GrantView) -> int:
-        """Move to the target once the distance is worth a write."""
+        """Adjust to the target once the distance exceeds the slack."""
         target = max(view.requested, self._target(view))
-        distance = target - view.holding - view.running
-        slack = max(view.largest, int(SLACK * target))
+        distance = target - view.available - view.reserved
+        slack = max(view.largest, int(SLACK_FRACTION * target))
         if view.requested:
             return min(view.free, max(distance, view.requested))
         if distance > slack:
             return min(view.free, distance)
         if distance < -slack:
-            return -min(view.holding, -distance)
+            return -min(view.available, -distance)
         return 0
 
     def _target(self, view: GrantView) -> int:
         share = view.rate / view.fleet_rate if view.fleet_rate > 0 else 0.0
         if share == 0.0:
             share = 1.0 / (4 * max(1, view.instances))
-        longest = max(MIN_REQUESTS * view.largest, int(view.rate * RESERVE_SECONDS))
+        limit = max(MIN_REQUESTS * view.largest, int(view.rate * OUTAGE_SECONDS))
         if view.largest == 0:
-            longest = int(BASE_FRACTION * view.limit / max(1, view.instances))
-        return min(longest, int(view.remaining * min(1.0, share)))
+            limit = int(BASE_FRACTION * view.limit / max(1, view.instances))
+        return min(limit, int(view.remaining * min(1.0, share)))
--- a/packages/pondquay/src/pondquay/budgets/succession.py
+++ b/packages/pondquay/src/pondquay/budgets/succession.py
@@ -1,8 +1,8 @@
-"""The witness's programs: winding up the grants of a holder that is gone.
+"""The witness's programs: seal and close the grants of a holder presumed dead.
 
-Sealing is always safe: what the holder can ever dispatch is then in the witness's
-list. So the rest goes back to the budget at once, and each attempt in the list is
-resolved as its upstream says.
+Sealing is always safe: the holder can never dispatch an attempt that is not in the
+witness's list. So the other tokens are returned to the budget at once, and each attempt
+in the list is resolved by asking its upstream.
 """
 
 from __future__ import annotations
@@ -35,10 +35,10 @@
 
 @dataclass(slots=True)
 class SealedGrant:
-    """A sealed grant on its way out.
+    """A sealed grant that is being closed.
 
-    :param closed: its remainder is back in the budget
-    :param held: attempts whose end is still to be written to the table
+    :param closed: whether its remainder is returned to the budget
+    :param held: sequence numbers of attempts that are not yet resolved in the table
     """
 
     id: GrantId
@@ -47,10 +47,12 @@
 
 
 class Succession:
-    """What a witness does with the grants of holders that are gone.
+    """Seals and closes the grants of holders presumed dead, on behalf of a witness.
 
-    :param instance: the witness, in this one of its lives
-    :param witness: what it knows of grants
+    :param instance: this incarnation of the witness
+    :param witness: the grants that it witnesses
+    :param directory: reports which holders are presumed dead
+    :ivar sealed: sealed grants that are not completely resolved
     """
 
     def __init__(
@@ -63,7 +65,7 @@
         self._number = 0
 
     def seal_unresponsive(self) -> list[GrantId]:
-        """Seal the grants of holders that are gone; return those newly sealed."""
+        """Seal the grants of holders presumed dead; return those newly sealed."""
         newly = []
         for holder in self._witness.holders():
             if not self._directory.is_presumed_dead(holder):
@@ -75,16 +77,16 @@
         return newly
 
     def seal(self, grant: GrantId, workspace: str) -> None:
-        """Acknowledge nothing more for a grant, and wind it up from now on."""
+        """Acknowledge no more attempts of a grant, and start to close it."""
         self._witness.seal(grant, workspace)
         self.sealed.setdefault(grant, SealedGrant(grant))
 
     def seal_unknown_grants(self, holder: InstanceId) -> Program[None]:
-        """Seal grants that name us as witness and of which we never heard.
+        """Seal grants in the table that name this witness but are unknown to it.
 
-        That is a refill whose answer was lost, after which the holder died. A holder
-        that only seemed to be gone may still refill, so this is to be done again for
-        as long as it seems so.
+        Such a grant remains if the holder dies before it uses a refill. A holder that
+        is wrongly presumed dead may still refill, so this has to be repeated while it
+        is presumed dead.
         """
         rows = yield from read_rows(prefixes=(holder_prefix(holder),))
         if isinstance(rows, Unreachable):
@@ -97,7 +99,7 @@
                 self.seal(parse_grant_key(row.key), grant.workspace)
 
     def close_sealed(self, sealed: SealedGrant) -> Program[None]:
-        """Bring a sealed grant further: close it, then write what was resolved."""
+        """Close a sealed grant in the table, then write the resolved attempts."""
         grant = self._witness.grants.get(sealed.id)
         if grant is None:
             self.sealed.pop(sealed.id, None)
@@ -113,13 +115,13 @@
 
     def _close(self, grant: WitnessedGrant, sealed: SealedGrant) -> Program[None]:
         closing = self._witness.describe_close(grant, self._next_segment())
-        # An earlier try whose answer was lost may have stored its own list.
+        # An earlier attempt to close whose response was lost may have stored its list.
         sealed.held |= set(closing.held)
         outcome = yield from close_grant(closing)
         if not isinstance(outcome, Closed):
             return
         sealed.closed = True
-        if not outcome.by_us:
+        if not outcome.by_caller:
             sealed.held |= set(grant.bills)
 
     def _resolve(
--- a/packages/pondquay/src/pondquay/budgets/witness.py
+++ b/packages/pondquay/src/pondquay/budgets/witness.py
@@ -1,8 +1,8 @@
-"""The witness's side of grants: what other instances may have dispatched.
+"""The witness's side of grants: attempts that other instances may have dispatched.
 
-A witness keeps every attempt it has acknowledged until it knows its end. Once it has
-sealed a grant it acknowledges nothing more, so its list holds all that the holder can
-ever dispatch, however long the holder was paused.
+A witness keeps every attempt that it has acknowledged until its outcome is known. Once
+a grant is sealed, the witness acknowledges no more attempts of it. So its list contains
+all attempts that the holder can ever dispatch, however long the holder was paused.
 """
 
 from __future__ import annotations
@@ -43,14 +43,14 @@
 
 @dataclass(slots=True)
 class WitnessedGrant:
-    """What a witness knows of one grant.
-
-    :param open: attempts without a known end, by sequence
-    :param bills: bills that may not be in the table yet, by sequence
-    :param ended: sequences of all attempts that ended, so that a message that comes
-        twice or late changes nothing
-    :param floor: every sequence up to this one has ended
-    :param spent: tokens used for good by the attempts that ended
+    """The witness's record of one grant.
+
+    :param open: attempts without a known outcome, by sequence number
+    :param bills: bills that may not be in the table yet, by sequence number
+    :param ended: sequence numbers above ``floor`` of attempts that ended, so that
+        duplicate and late messages have no effect
+    :param floor: all attempts up to this sequence number have ended
+    :param spent: tokens billed for the attempts that ended
     """
 
     id: GrantId
@@ -63,11 +63,11 @@
     spent: int = 0
 
     def has_ended(self, seq: int) -> bool:
-        """Tell whether the end of an attempt is known."""
+        """Return whether the outcome of an attempt is known."""
         return seq <= self.floor or seq in self.ended
 
-    def end(self, seq: int) -> None:
-        """Note that the end of an attempt is known."""
+    def mark_ended(self, seq: int) -> None:
+        """Record that the outcome of an attempt is known."""
         self.open.pop(seq, None)
         self.ended.add(seq)
         while self.floor + 1 in self.ended:
@@ -78,8 +78,8 @@
 class Witness:
     """All grants of other instances that one instance witnesses.
 
-    :param max_grants: grants kept at most; further ones are refused
-    :param max_open: open attempts kept at most for one grant
+    :param max_grants: the most grants to keep; further ones are refused
+    :param max_open: the most open attempts to keep for one grant
     """
 
     def __init__(self, max_grants: int = MAX_GRANTS, max_open: int = MAX_OPEN) -> None:
@@ -89,7 +89,7 @@
         self._max_open = max_open
 
     def receive(self, message: HolderMessage) -> WitnessMessage | None:
-        """Take in a holder's message and return the answer to it, if it has one."""
+        """Handle a holder's message; return the response, ``None`` if it has none."""
         match message.kind:
             case "intend":
                 return self._receive_intents(message)
@@ -110,13 +110,15 @@
         for intent in message.intents:
             if not grant.has_ended(intent.seq):
                 grant.open[intent.seq] = intent
-        return Acknowledge(message.grant, tuple(one.seq for one in message.intents))
+        return Acknowledge(
+            message.grant, tuple(received.seq for received in message.intents)
+        )
 
     def _open_grant(self, grant_id: GrantId, workspace: str) -> WitnessedGrant | None:
-        """Return a grant, opening it if its number is new from this holder.
+        """Return a grant; open it if its number is higher than any of this holder.
 
-        A number that is not new and not open was sealed here, or came out of order:
-        the holder then closes that grant itself.
+        A grant with a lower number that is not kept here is refused: it was dropped, or
+        its messages arrived out of order. The holder then closes it itself.
         """
         grant = self.grants.get(grant_id)
         if grant is not None:
@@ -131,7 +133,7 @@
         return grant
 
     def _receive_settlements(self, message: Settle) -> WitnessMessage:
-        seqs = tuple(one.seq for one in message.settlements)
+        seqs = tuple(received.seq for received in message.settlements)
         grant = self.grants.get(message.grant)
         if grant is None:
             return SettleRefused(message.grant, seqs)
@@ -142,7 +144,7 @@
     def _settle(self, grant: WitnessedGrant, settlement: Settlement) -> None:
         if grant.has_ended(settlement.seq):
             return
-        grant.end(settlement.seq)
+        grant.mark_ended(settlement.seq)
         if settlement.billed is None:
             return
         grant.spent += settlement.billed
@@ -154,7 +156,7 @@
     def _receive_flushed(self, message: Flushed) -> None:
         grant = self.grants.get(message.grant)
         if grant is None or grant.sealed:
-            # A sealed grant's row may hold the attempt until its bill is resolved.
+            # The row of a sealed grant may hold the attempt until it is resolved.
             return
         for seq in message.seqs:
             grant.bills.pop(seq, None)
@@ -163,7 +165,7 @@
         self.grants.pop(message.grant, None)
 
     def seal(self, grant_id: GrantId, workspace: str) -> WitnessedGrant:
-        """Acknowledge nothing more for a grant; one never heard of is noted as well."""
+        """Acknowledge no more attempts of a grant, including one unknown so far."""
         highest = self._highest.get(grant_id.holder, 0)
         self._highest[grant_id.holder] = max(highest, grant_id.number)
         grant = self.grants.setdefault(grant_id, WitnessedGrant(grant_id, workspace))
@@ -171,7 +173,7 @@
         return grant
 
     def describe_close(self, grant: WitnessedGrant, segment: str) -> Closing:
-        """Return what is known of a sealed grant, to close it in the table."""
+        """Return the state of a sealed grant, to close it in the table."""
         held = {
             seq: HeldIntent(
                 str(intent.request),
@@ -188,19 +190,22 @@
     def resolve(
         self, attempt: AttemptId, request: RequestName, billed: int | None
     ) -> None:
-        """Note the end of an attempt as its upstream told it."""
+        """Record the outcome of an attempt, as reported by its upstream.
+
+        :param billed: tokens to bill, ``None`` if the attempt is not billed
+        """
         grant = self.grants.get(attempt.grant)
         if grant is None or grant.has_ended(attempt.seq):
             return
-        grant.end(attempt.seq)
+        grant.mark_ended(attempt.seq)
         if billed is not None:
             grant.spent += billed
             grant.bills[attempt.seq] = make_bill(request, attempt, billed)
 
     def drop(self, grant: GrantId) -> None:
-        """Forget a grant of which everything is in the table.
+        """Drop a grant that is completely written to the table.
 
-        Its number stays known, so it is never opened again.
+        Its number is remembered, so it is never opened again.
         """
         self.grants.pop(grant, None)
 
@@ -210,11 +215,15 @@
 
     def of_holder(self, holder: InstanceId) -> list[WitnessedGrant]:
         """Return the grants of one holder."""
-        return [one for one in self.grants.values() if one.id.holder == holder]
+        return [grant for grant in self.grants.values() if grant.id.holder == holder]
 
     def find_request(self, request: RequestName) -> list[OpenAttempt]:
-        """Return the open attempts of a request, the newest last."""
-        return [one for one in self._open_attempts() if one.intent.request == request]
+        """Return the open attempts of a request, the newest of each grant last."""
+        return [
+            attempt
+            for attempt in self._open_attempts()
+            if attempt.intent.request == request
+        ]
 
     def _open_attempts(self) -> Iterator[OpenAttempt]:
         for grant in self.grants.values():
