--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/crashwatch.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/crashwatch.py
@@ -177,9 +177,9 @@
             return None
         return Refusal(UNAVAILABLE, REASON, blocked.retry_after)
 
-    def take_trial(self, content: bytes) -> bool:
+    def start_trial(self, content: bytes) -> bool:
         """Allow a refused request one run, if that is due here."""
-        report = self.history.take_trial(content)
+        report = self.history.start_trial(content)
         if report is None:
             return False
         log_event("content-tried", content=content.hex(), trials=report.trials)
@@ -285,7 +285,7 @@
         refusal = self._watch.check(self.content)
         if refusal is None:
             return None
-        self._on_trial = self._watch.take_trial(self.content)
+        self._on_trial = self._watch.start_trial(self.content)
         return None if self._on_trial else refusal
 
     def check_again(self, sends: int) -> Refusal | None:
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/evacuationview.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/evacuationview.py
@@ -61,7 +61,7 @@
         self._take(news, PEER)
 
     def _take(self, news: Evacuation, source: str) -> None:
-        if self._directory.evacuations.take(news):
+        if self._directory.evacuations.merge(news):
             self._act(news, source)
 
     def _act(self, news: Evacuation, source: str) -> None:
@@ -73,5 +73,5 @@
             source=source,
         )
         if not news.evacuated:
-            self._directory.note_taken_back(news.domain, self._cold_seconds)
+            self._directory.note_restored(news.domain, self._cold_seconds)
         self._announce(news)
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/peernews.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/peernews.py
@@ -104,7 +104,7 @@
 
     def evacuations(self) -> list[Evacuation]:
         """Return what is known here of emptied domains."""
-        return self._directory.evacuations.news()
+        return self._directory.evacuations.updates()
 
     def receive_evacuation(self, news: Evacuation) -> None:
         """Take in a peer's news of an emptied domain."""
--- a/packages/pondquay-lab/src/pondquay_lab/slopes.py
+++ b/packages/pondquay-lab/src/pondquay_lab/slopes.py
@@ -131,7 +131,7 @@
     upstreams = []
     for number in range(count):
         upstream = Upstream(f"engine-{number}", ENGINE, "hall-a", "http://h", "khuree")
-        upstream.take_report(LoadReport(5, 16, 1.0, 3, (("judge", "v1"),), "boot"))
+        upstream.apply_report(LoadReport(5, 16, 1.0, 3, (("judge", "v1"),), "boot"))
         upstreams.append(upstream)
     return upstreams
 
