--- a/packages/pondquay-lab/src/pondquay_lab/limitruns.py
+++ b/packages/pondquay-lab/src/pondquay_lab/limitruns.py
@@ -22,7 +22,7 @@
 
 from pondquay.routing.coldshares import choose_senders
 from pondquay.routing.issuers import IssuerSelector, LinkedPeers
-from pondquay.routing.permitstock import PermitCache
+from pondquay.routing.permitcache import PermitCache
 from pondquay.routing.ratelimits import PERMIT_LIFETIME_SECONDS, PermitIssuer
 from pondquay_daemon.relay.peermessages import (
     PermitGrant,
--- a/packages/pondquay/src/pondquay/routing/knownupstreams.py
+++ b/packages/pondquay/src/pondquay/routing/knownupstreams.py
@@ -8,7 +8,7 @@
 
 from pondquay.routing.circuits import Circuit
 from pondquay.routing.pauses import PauseRecord
-from pondquay.routing.permitstock import PermitCache
+from pondquay.routing.permitcache import PermitCache
 from pondquay.routing.promptload import PromptLoad
 from pondquay.routing.ratelimits import NEVER_REPORTED, PermitIssuer, RateLimit
 
--- a/packages/pondquay/tests/routing/test_permitstock.py
+++ b/packages/pondquay/tests/routing/test_permitcache.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from pondquay.routing.permitstock import MIN_PAUSE_SECONDS, PermitCache
+from pondquay.routing.permitcache import MIN_PAUSE_SECONDS, PermitCache
 
 
 def test_a_permit_is_used_once_and_in_time() -> None:
