--- a/packages/pondquay/src/pondquay/routing/__init__.py
+++ b/packages/pondquay/src/pondquay/routing/__init__.py
@@ -1,4 +1,7 @@
-"""Routing, admission, retries: where a request runs, and whether."""
+"""Routing, admission control and retries: the choice of an upstream for a request.
+
+Importing the package registers the routing policies.
+"""
 
 from __future__ import annotations
 
--- a/packages/pondquay/src/pondquay/routing/admission.py
+++ b/packages/pondquay/src/pondquay/routing/admission.py
@@ -1,4 +1,4 @@
-"""Admission: bounded queues by priority in front of the upstreams."""
+"""Admission control: bounded queues by priority in front of the upstreams."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 
 @dataclass(frozen=True, slots=True)
 class QueuedRequest(Generic[T]):
-    """A request that waits for a place.
+    """A request that waits for a free slot at an upstream.
 
-    :param deadline: when it has to be refused, in seconds
+    :param deadline: time at which it is refused, in seconds
     """
 
     item: T
@@ -29,48 +29,52 @@
 
 
 class AdmissionQueue(Generic[T]):
-    """Requests that wait, the most urgent first, each until its deadline.
+    """Waiting requests by priority, each until its deadline.
 
-    :param most_waiting: places for each priority
+    :param max_waiting: capacity of the queue of each priority
     """
 
-    def __init__(self, most_waiting: int = MAX_WAITING) -> None:
+    def __init__(self, max_waiting: int = MAX_WAITING) -> None:
         self._queues: dict[Priority, deque[QueuedRequest[T]]] = {
             priority: deque() for priority in PRIORITY_ORDER
         }
-        self._most_waiting = most_waiting
+        self._max_waiting = max_waiting
 
     def __len__(self) -> int:
         return sum(len(queue) for queue in self._queues.values())
 
-    def push(self, waiting: QueuedRequest[T]) -> bool:
-        """Add a request; ``False`` if the queue of its priority is full."""
-        queue = self._queues[waiting.priority]
-        if len(queue) >= self._most_waiting:
+    def push(self, request: QueuedRequest[T]) -> bool:
+        """Add a request; return ``False`` if the queue of its priority is full."""
+        queue = self._queues[request.priority]
+        if len(queue) >= self._max_waiting:
             return False
-        queue.append(waiting)
+        queue.append(request)
         return True
 
     def drop_expired(self, now: float) -> list[T]:
-        """Take out all whose deadline has come, to be refused at once."""
-        late: list[T] = []
+        """Remove and return all requests whose deadline has passed."""
+        expired: list[T] = []
         for priority, queue in self._queues.items():
-            late.extend(one.item for one in queue if one.deadline <= now)
-            self._queues[priority] = deque(one for one in queue if one.deadline > now)
-        return late
+            expired.extend(request.item for request in queue if request.deadline <= now)
+            self._queues[priority] = deque(
+                request for request in queue if request.deadline > now
+            )
+        return expired
 
     def pop_startable(self, start: Callable[[T], bool]) -> int:
-        """Offer the requests in order; those that ``start`` accepts leave the queue.
+        """Offer the requests in order and remove those that ``start`` accepts.
 
-        One that cannot start does not hold up others that can.
+        A request that cannot start does not block those behind it.
+
+        :returns: the number of requests started
         """
         started = 0
         for priority in PRIORITY_ORDER:
-            kept: deque[QueuedRequest[T]] = deque()
-            for waiting in self._queues[priority]:
-                if start(waiting.item):
+            remaining: deque[QueuedRequest[T]] = deque()
+            for request in self._queues[priority]:
+                if start(request.item):
                     started += 1
                 else:
-                    kept.append(waiting)
-            self._queues[priority] = kept
+                    remaining.append(request)
+            self._queues[priority] = remaining
         return started
--- a/packages/pondquay/src/pondquay/routing/balanced.py
+++ b/packages/pondquay/src/pondquay/routing/balanced.py
@@ -1,4 +1,4 @@
-"""Two random choices, the one that will start sooner taken."""
+"""Load balancing by two random choices."""
 
 from __future__ import annotations
 
@@ -14,34 +14,39 @@
     from pondquay.routing.upstreams import Upstream
 
 
-# How much of the work ahead a request has to wait for: engines start the more urgent
-# ones first, so to a caption most of the backlog does not matter.
-AHEAD_BY_RANK = (0.05, 0.5, 1.0)
+# Fraction of an upstream's load that a request of each rank waits for: engines start
+# more urgent requests first.
+QUEUE_FRACTION_BY_RANK = (0.05, 0.5, 1.0)
 
 
-def estimate_wait(upstream: Upstream, work: RequestProfile, usual: float) -> float:
-    """Return about how many seconds pass until a request's first token.
+def estimate_wait(
+    upstream: Upstream, request: RequestProfile, default_pace: float
+) -> float:
+    """Return the approximate seconds until a request's first token.
 
-    :param usual: pace taken for an upstream that has not been observed yet
+    :param default_pace: seconds per token of an upstream that has not been observed
     """
-    pace = upstream.pace or usual
-    ahead = AHEAD_BY_RANK[work.rank] * upstream.load / upstream.slots
+    pace = upstream.pace or default_pace
+    ahead = QUEUE_FRACTION_BY_RANK[request.rank] * upstream.load / upstream.slots
     return pace * (1.0 + ahead)
 
 
 @ROUTING_POLICIES.register("two-choices")
 class TwoChoices(RoutingPolicy):
-    """Compares two upstreams drawn at random.
+    """Draws two upstreams at random and takes the shorter expected wait.
 
-    With lagging reports, taking the least loaded of all sends every instance to the
-    same upstream; two choices avoid that.
+    Load reports lag, so picking the least loaded of all upstreams would send the
+    requests of every instance to the same upstream.
     """
 
     def choose(
-        self, candidates: Sequence[Upstream], work: RequestProfile, random: Random
+        self, candidates: Sequence[Upstream], request: RequestProfile, random: Random
     ) -> Upstream:
-        """Return the one of two that will start sooner."""
+        """Return whichever of two random candidates has the shorter expected wait."""
         drawn = random.sample(list(candidates), min(2, len(candidates)))
-        known = [one.pace for one in candidates if one.pace]
-        usual = sum(known) / len(known) if known else 1.0
-        return min(drawn, key=lambda one: estimate_wait(one, work, usual))
+        paces = [upstream.pace for upstream in candidates if upstream.pace]
+        default_pace = sum(paces) / len(paces) if paces else 1.0
+        return min(
+            drawn,
+            key=lambda upstream: estimate_wait(upstream, request, default_pace),
+        )
--- a/packages/pondquay/src/pondquay/routing/coldshares.py
+++ b/packages/pondquay/src/pondquay/routing/coldshares.py
@@ -1,13 +1,13 @@
-"""Who may send to a cold upstream, and how often, without a message between instances.
+"""Rate limit for cold upstreams, kept by all instances without messages.
 
-An upstream that has just started bears some requests a second from all instances
-together and falls over at well above that. So a few instances send to it, each at most
-one request a second: as many as it bears a second. All agree on who they are by
-rendezvous hashing over the instances of its domain.
+An upstream that has just started handles only a few requests per second from all
+instances together and fails above that. So as many instances as it handles requests
+per second send to it, each at most one request per second. The instances agree on the
+senders by rendezvous hashing.
 
-Where instances know different fleets, as in a cut or while instances are added, more
-may take themselves for senders: one for each instance that some know and others do not,
-at most. An upstream that bears six a second and falls over at fifteen holds eight such.
+Where instances know different members of the fleet, as in a network partition or a
+scale-out, the number of senders grows by at most the number of members that only some
+of them know.
 """
 
 from __future__ import annotations
@@ -21,8 +21,8 @@
 
     from pondquay.routing.knownupstreams import KnownUpstream
 
-# Seconds between two requests of one sender. The bound counts what arrives within any
-# second, so a shorter pause would let one sender be counted twice.
+# Minimum delay between two requests of a sender. The limit counts arrivals in any
+# second, so a shorter delay would count one sender twice.
 SENDER_PAUSE_SECONDS = 1.0
 
 
@@ -31,25 +31,28 @@
 ) -> frozenset[str]:
     """Return the instances that may send to a cold upstream.
 
-    :param domain: of the upstream; instances of other domains come after its own
+    :param domain: domain of the upstream; its instances are preferred
     :param domains: the domain of each instance of the fleet
-    :param count: how many there are to be
+    :param count: maximum number of senders
     """
     ranked = sorted(
         domains,
-        key=lambda one: (domains[one] != domain, score_pair(upstream, one)),
+        key=lambda instance: (
+            domains[instance] != domain,
+            score_pair(upstream, instance),
+        ),
     )
     return frozenset(ranked[:count])
 
 
 class ColdShares:
-    """One instance's share of what cold upstreams bear.
+    """Limits the requests of one instance to cold upstreams.
 
-    :param instance: its name
-    :param domains: returns the domain of each instance that is known; the mapping is
-        never changed, only replaced
-    :param rate: returns the requests a second that a cold upstream of a service bears,
-        0 for no bound
+    :param instance: name of this instance
+    :param domains: returns the domain of each known instance; the mapping is replaced
+        when it changes, never modified
+    :param rate: returns the requests per second that a cold upstream of a service
+        handles, 0 for no limit
     """
 
     def __init__(
@@ -61,11 +64,11 @@
         self._instance = instance
         self._domains = domains
         self._rate = rate
-        self._chosen_of: Mapping[str, str] = {}
+        self._cached_domains: Mapping[str, str] = {}
         self._is_sender: dict[str, bool] = {}
 
     def allows(self, upstream: KnownUpstream, now: float) -> bool:
-        """Tell whether a request may be sent to an upstream now, cold or not."""
+        """Return whether a request may be sent to an upstream now, cold or not."""
         if now >= upstream.cold_until:
             return True
         rate = self._rate(upstream.record.service)
@@ -74,12 +77,12 @@
         pause = max(SENDER_PAUSE_SECONDS, 1 / rate)
         if upstream.last_sent_at is not None and now - upstream.last_sent_at < pause:
             return False
-        return self._sends_to(upstream, max(1, int(rate)))
+        return self._may_send_to(upstream, max(1, int(rate)))
 
-    def _sends_to(self, upstream: KnownUpstream, count: int) -> bool:
+    def _may_send_to(self, upstream: KnownUpstream, count: int) -> bool:
         domains = self._domains()
-        if domains is not self._chosen_of:
-            self._chosen_of = domains
+        if domains is not self._cached_domains:
+            self._cached_domains = domains
             self._is_sender.clear()
         known = self._is_sender.get(upstream.name)
         if known is None:
--- a/packages/pondquay/src/pondquay/routing/copies.py
+++ b/packages/pondquay/src/pondquay/routing/copies.py
@@ -1,7 +1,7 @@
-"""From which upstream another copies what it has not read of a prompt.
+"""Choice of the upstream from which another copies cached parts of a prompt.
 
-To copy shared parts takes a small part of the time that reading them does, and while a
-prompt is read, all streams beside it pause.
+Copying cached parts is faster than prefilling them, and a prefill pauses the streams
+that run beside it.
 """
 
 from __future__ import annotations
@@ -14,13 +14,12 @@
     from pondquay.routing.knownupstreams import KnownUpstream
     from pondquay.routing.prompts import PromptPart
 
-# Tokens that a copy must spare reading: more than an engine reads in the time that it
-# takes to set one up.
+# Below this number of tokens, a prefill is faster than setting up a copy.
 MIN_COPIED_TOKENS = 512
 
 
 def count_missing_tokens(target: KnownUpstream, prefix: tuple[PromptPart, ...]) -> int:
-    """Return the shared tokens of a prompt that an upstream has not read."""
+    """Return the shared tokens of a prompt that an upstream has not cached."""
     return target.prompts.count_uncached(prefix[:-1])
 
 
@@ -29,22 +28,22 @@
     others: Iterable[KnownUpstream],
     prefix: tuple[PromptPart, ...],
 ) -> KnownUpstream | None:
-    """Return the upstream that has read most of a prompt's shared parts.
+    """Return the upstream that has cached most of a prompt's shared parts.
 
-    Of several, one in the target's domain is preferred: the way is shorter, and no cut
-    between domains can come between.
+    Among equals, an upstream in the target's domain is preferred, since the path is
+    shorter and no partition between domains can interrupt it.
 
-    :param others: sound upstreams of the same service
-    :returns: ``None`` if a copy would not spare enough
+    :param others: healthy upstreams of the same service
+    :returns: ``None`` if a copy would save too few tokens
     """
-    lacking = count_missing_tokens(target, prefix)
+    missing = count_missing_tokens(target, prefix)
     domain = target.record.domain
 
     def order(upstream: KnownUpstream) -> tuple[int, bool, str]:
-        spared = lacking - count_missing_tokens(upstream, prefix)
-        return spared, upstream.record.domain == domain, upstream.name
+        saved = missing - count_missing_tokens(upstream, prefix)
+        return saved, upstream.record.domain == domain, upstream.name
 
-    candidates = [one for one in others if one is not target]
+    candidates = [other for other in others if other is not target]
     best = max(candidates, key=order, default=None)
     if best is None or order(best)[0] < MIN_COPIED_TOKENS:
         return None
--- a/packages/pondquay/src/pondquay/routing/crashes.py
+++ b/packages/pondquay/src/pondquay/routing/crashes.py
@@ -1,16 +1,16 @@
-"""Requests under which upstreams crash, and when such a request is refused.
+"""Requests under which upstreams crash, and when such requests are refused.
 
-A request may crash every upstream that begins to run it, and everything beside it there
-is lost. Its caller comes again, at any instance and under another name, so a request is
-known by its content, and instances tell each other which upstreams crashed under it.
+A request may crash every upstream that runs it, and with it all requests running there.
+Its caller retries at any instance under a new request ID, so the request is identified
+by its content, and instances report to each other which upstreams crashed under it.
 
-Requests that were beside it are suspected as well. A run that comes to its end clears
-its content of all upstreams that are known to have crashed under it by then.
+Requests that ran at the same upstream are suspected as well. A run that completes
+clears its content of all crashes known by then.
 
-What is known of a content are facts: the upstreams that crashed and how long ago, those
-that it was cleared of, and how often it was tried again. Reports can come late, twice,
-in any order and over others. The age of a crash goes with it, so it does not matter
-when and from whom an instance hears: those that have heard the same know the same.
+The state of a content is mergeable: the upstreams that crashed and how long ago, those
+that it was cleared of, and how often it was tried again. Reports may arrive late,
+twice, in any order and by way of other instances. Each carries the age of the crashes,
+so instances that have received the same reports have the same state.
 """
 
 from __future__ import annotations
@@ -21,27 +21,25 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Mapping
 
-# Upstreams that may crash under a content until it is refused. A request with two
-# attempts is beside one that crashes its upstreams twice easily, three times seldom.
+# Upstreams that crash under a content until it is refused. A harmless request with two
+# attempts easily runs beside a crash twice, but rarely three times.
 CRASHES_TO_BLOCK = 3
-# Seconds after which a content that is refused may be tried once more, in case that the
-# upstreams crashed of something else: first while its callers may still wait, then once
-# that trouble is surely over. At most as often in all, since each may crash one more.
+# Delays after which a refused content gets another trial, in seconds: the first while
+# its callers may still wait, the second once an unrelated fault is over. There are no
+# further trials, since each may crash another upstream.
 TRIAL_DELAYS_SECONDS = (10.0, 120.0)
-# What a caller is told at least, in seconds: a trial that is due takes about as long.
-SOONEST_RETRY_SECONDS = 1.0
-# What a caller is told whose content will not be tried again, in seconds.
+# Minimum retry delay for callers; a trial that is due takes about as long.
+MIN_RETRY_SECONDS = 1.0
+# Retry delay for callers whose content gets no more trials.
 BLOCKED_RETRY_SECONDS = 600.0
-# Crashes that lie further apart, in seconds, are taken for unrelated. It bounds for how
-# long runs that end well are compared with suspected contents.
-SUSPECT_SECONDS = 600.0
-# A crash that is heard of later, in seconds, is passed over: what was cut off for
-# longer has little to say of callers that come now.
-LATEST_NEWS_SECONDS = 2 * SUSPECT_SECONDS
-# A crash is kept for as long as others that count with it may be heard of.
-KEPT_SECONDS = LATEST_NEWS_SECONDS + SUSPECT_SECONDS
-# Contents that are suspected at a time, contents that are refused, and upstreams of
-# each. A crash brings as many suspects as were running there.
+# Crashes further apart than this, in seconds, count as unrelated.
+CRASH_WINDOW_SECONDS = 600.0
+# New crashes that are older than this, in seconds, are ignored.
+MAX_REPORT_AGE_SECONDS = 2 * CRASH_WINDOW_SECONDS
+# A crash is kept for as long as related crashes may still be reported.
+RETENTION_SECONDS = MAX_REPORT_AGE_SECONDS + CRASH_WINDOW_SECONDS
+# Bounds on suspected contents, refused contents, and upstreams of each content. A crash
+# adds as many suspected contents as were running there.
 MAX_SUSPECTED = 4096
 MAX_BLOCKED = 1024
 MAX_UPSTREAMS = 16
@@ -49,12 +47,12 @@
 
 @dataclass(frozen=True, slots=True)
 class CrashReport:
-    """What is known of one content.
+    """The state of one content.
 
-    :param crashed: lives of upstreams that ended while they ran it
-    :param cleared: those of them that ended before a run of it came to its end
+    :param crashed: incarnations of upstreams that crashed while they ran it
+    :param cleared: those of them that crashed before a run of it completed
     :param trials: how often it was tried again after it had been refused
-    :param ages: seconds since each of them ended, 0 where it has just done so
+    :param ages: seconds since each of them crashed, 0 if it is missing here
     """
 
     content: bytes
@@ -65,46 +63,48 @@
 
     @property
     def suspected(self) -> bool:
-        """Whether upstreams crashed under it since it last ran to its end."""
+        """Whether upstreams crashed under it since it last completed."""
         return bool(self.crashed - self.cleared)
 
     @property
     def blocked(self) -> bool:
-        """Whether it is refused: enough upstreams crashed within a while.
+        """Whether it is refused: enough upstreams crashed within the window.
 
         This does not change as the crashes age.
         """
-        ages = sorted(self.age(one) for one in self.crashed - self.cleared)
+        ages = sorted(self.age(upstream) for upstream in self.crashed - self.cleared)
         last = CRASHES_TO_BLOCK - 1
         spans = zip(ages, ages[last:], strict=False)
-        return any(late - early <= SUSPECT_SECONDS for early, late in spans)
+        return any(late - early <= CRASH_WINDOW_SECONDS for early, late in spans)
 
     def age(self, upstream: str) -> float:
         """Return the seconds since an upstream crashed."""
         return self.ages.get(upstream, 0.0)
 
-    def keep(self, crashed: frozenset[str]) -> CrashReport:
-        """Return what it says of some upstreams alone."""
-        ages = {one: self.age(one) for one in crashed}
+    def restrict_to(self, crashed: frozenset[str]) -> CrashReport:
+        """Return the report without the crashes of all other upstreams."""
+        ages = {upstream: self.age(upstream) for upstream in crashed}
         cleared = self.cleared & crashed
         return CrashReport(self.content, crashed, cleared, self.trials, ages)
 
-    def drop_expired(self, most: float) -> CrashReport:
-        """Return it without crashes that are too old, unless it is refused for them.
+    def drop_expired(self, max_age: float) -> CrashReport:
+        """Return the report without crashes that are too old, unless it is refused.
 
-        :param most: seconds
+        :param max_age: seconds
         """
         if self.blocked:
             return self
-        fresh = frozenset(one for one in self.crashed if self.age(one) <= most)
-        return self if len(fresh) == len(self.crashed) else self.keep(fresh)
+        fresh = frozenset(
+            upstream for upstream in self.crashed if self.age(upstream) <= max_age
+        )
+        return self if len(fresh) == len(self.crashed) else self.restrict_to(fresh)
 
 
 @dataclass(frozen=True, slots=True)
 class Blocked:
-    """A content is refused.
+    """The refusal of a content.
 
-    :param retry_after: seconds after which it may be tried again
+    :param retry_after: seconds after which the caller may retry
     """
 
     retry_after: float
@@ -112,7 +112,7 @@
 
 @dataclass(slots=True)
 class _Entry:
-    """One content, in times of this instance's clock.
+    """The state of one content, in times of this instance's clock.
 
     :param crashed: when each upstream crashed, in seconds
     :param next_trial: when it may be tried again, in seconds
@@ -125,20 +125,25 @@
     next_trial: float
 
     def describe(self, now: float) -> CrashReport:
-        """Return what is known."""
-        ages = {one: now - at for one, at in self.crashed.items()}
+        """Return the state as a report without expired crashes."""
+        ages = {
+            upstream: now - crashed_at for upstream, crashed_at in self.crashed.items()
+        }
         crashed = frozenset(self.crashed)
         report = CrashReport(self.content, crashed, self.cleared, self.trials, ages)
-        return report.drop_expired(KEPT_SECONDS)
+        return report.drop_expired(RETENTION_SECONDS)
 
     def merge(self, report: CrashReport, now: float) -> None:
-        """Take in what another instance knows.
+        """Merge the report of another instance.
 
-        An age grows on its way by less than the way takes, so the oldest is the truest.
+        The time in transit is missing from a reported age, so the earliest time of a
+        crash is the most accurate.
         """
-        for one in report.crashed:
-            at = now - report.age(one)
-            self.crashed[one] = min(at, self.crashed.get(one, at))
+        for upstream in report.crashed:
+            crashed_at = now - report.age(upstream)
+            self.crashed[upstream] = min(
+                crashed_at, self.crashed.get(upstream, crashed_at)
+            )
         self.cleared |= report.cleared
         if len(self.crashed) > MAX_UPSTREAMS:
             self._drop_crashes()
@@ -146,49 +151,51 @@
         self.trials = max(self.trials, report.trials)
 
     def _drop_crashes(self) -> None:
-        """Keep the newest crashes; what was cleared decides nothing any more."""
-        left = [one for one in self.crashed.items() if one[0] not in self.cleared]
-        left.sort(key=lambda one: (-one[1], one[0]))
-        self.crashed = dict(left[:MAX_UPSTREAMS])
+        """Keep only the newest crashes that are not cleared."""
+        uncleared = [
+            item for item in self.crashed.items() if item[0] not in self.cleared
+        ]
+        uncleared.sort(key=lambda item: (-item[1], item[0]))
+        self.crashed = dict(uncleared[:MAX_UPSTREAMS])
 
 
 class CrashHistory:
     """The contents under which upstreams crashed, as one instance knows them.
 
-    A suspicion is dropped after a while, a content that is refused only for the sake of
-    newer ones.
+    Suspected contents expire. Refused contents are dropped only to make room for newer
+    ones.
 
-    :param clock: tells the time in seconds
-    :param is_trier: tells whether this instance is the one that tries a content again
+    :param clock: returns the time in seconds
+    :param may_run_trial: returns whether this instance runs the trials of a content
     """
 
     def __init__(
-        self, clock: Callable[[], float], is_trier: Callable[[bytes], bool]
+        self, clock: Callable[[], float], may_run_trial: Callable[[bytes], bool]
     ) -> None:
         self._clock = clock
-        self._is_trier = is_trier
-        # In both, what changed last is last.
+        self._may_run_trial = may_run_trial
+        # Both are ordered by the last change, the latest last.
         self._suspected: dict[bytes, _Entry] = {}
         self._blocked: dict[bytes, _Entry] = {}
 
     @property
     def empty(self) -> bool:
-        """Whether no content is known, so that none has to be looked up."""
+        """Whether no content is known, so that lookups can be skipped."""
         return not self._suspected and not self._blocked
 
     def blocked(self) -> list[CrashReport]:
-        """Return what is known of the contents that are refused, the newest first."""
+        """Return reports of the refused contents, the latest change first."""
         now = self._clock()
-        return [one.describe(now) for one in reversed(self._blocked.values())]
+        return [entry.describe(now) for entry in reversed(self._blocked.values())]
 
     def suspected(self) -> list[CrashReport]:
-        """Return what is known of the other contents, the newest first."""
+        """Return reports of the other contents, the latest change first."""
         now = self._clock()
-        known = [one.describe(now) for one in reversed(self._suspected.values())]
-        return [one for one in known if one.crashed]
+        known = [entry.describe(now) for entry in reversed(self._suspected.values())]
+        return [report for report in known if report.crashed]
 
     def find(self, content: bytes) -> CrashReport | None:
-        """Return what is known of a content."""
+        """Return the report of a content, ``None`` if it is unknown or expired."""
         entry = self._find(content)
         if entry is None:
             return None
@@ -196,17 +203,17 @@
         return known if known.crashed or known.trials else None
 
     def note_crash(self, content: bytes, upstream: str) -> CrashReport | None:
-        """Take in that an upstream ended while it ran a content.
+        """Record that an upstream crashed while it ran a content.
 
-        :returns: what peers are to hear, ``None`` if that was known
+        :returns: the report to send to peers, ``None`` if nothing changed
         """
         report = CrashReport(content, frozenset({upstream}))
         return self.find(content) if self.receive(report) else None
 
     def note_served(self, content: bytes) -> CrashReport | None:
-        """Take in that a run of a content came to its end.
+        """Record that a run of a content completed.
 
-        :returns: what peers are to hear, ``None`` if it was not suspected
+        :returns: the report to send to peers, ``None`` if it was not suspected
         """
         known = self.find(content)
         if known is None or not known.suspected:
@@ -215,7 +222,7 @@
         return self.find(content)
 
     def receive(self, report: CrashReport) -> bool:
-        """Take in what another instance knows; tell whether it is new."""
+        """Merge the report of another instance; return whether it is new."""
         content, now = report.content, self._clock()
         entry = self._find(content)
         if entry is None:
@@ -232,26 +239,27 @@
         self._blocked.pop(content, None)
         entries = self._blocked if merged.blocked else self._suspected
         entries[content] = entry
-        self._forget_old()
+        self._prune()
         return True
 
     def check(self, content: bytes) -> Blocked | None:
-        """Tell whether a content is refused now."""
+        """Return the refusal of a content, ``None`` if it may run."""
         entry = self._blocked.get(content)
         if entry is None:
             return None
         if entry.trials >= len(TRIAL_DELAYS_SECONDS):
             return Blocked(BLOCKED_RETRY_SECONDS)
-        # One that is due is tried by an instance that its callers may reach next.
-        return Blocked(max(SOONEST_RETRY_SECONDS, entry.next_trial - self._clock()))
+        # A trial that is due runs at one instance, which the next retry may reach.
+        return Blocked(max(MIN_RETRY_SECONDS, entry.next_trial - self._clock()))
 
     def start_trial(self, content: bytes) -> CrashReport | None:
-        """Allow a refused content one run, if it is due and this instance's to allow.
+        """Allow a refused content one run, if a trial is due at this instance.
 
-        :returns: what peers are to hear before the run begins
+        :returns: the report to send to peers before the run starts, ``None`` if it may
+            not run
         """
         entry = self._blocked.get(content)
-        if entry is None or not self._is_trier(content):
+        if entry is None or not self._may_run_trial(content):
             return None
         trials = entry.trials
         if trials >= len(TRIAL_DELAYS_SECONDS) or self._clock() < entry.next_trial:
@@ -263,14 +271,14 @@
         return self._blocked.get(content) or self._suspected.get(content)
 
     def _drop_expired(self, report: CrashReport, known: CrashReport) -> CrashReport:
-        """Return a report without crashes that are new here and too old."""
-        fresh = report.drop_expired(LATEST_NEWS_SECONDS).crashed
-        return report.keep(fresh | (report.crashed & known.crashed))
+        """Return a report without crashes that are both unknown here and too old."""
+        fresh = report.drop_expired(MAX_REPORT_AGE_SECONDS).crashed
+        return report.restrict_to(fresh | (report.crashed & known.crashed))
 
-    def _forget_old(self) -> None:
-        """Drop what says nothing any more, and what is too much.
+    def _prune(self) -> None:
+        """Drop expired contents, and the oldest beyond the bounds.
 
-        Where more contents are suspected than are kept, instances may differ.
+        Once more contents are suspected than are kept, instances may differ.
         """
         now = self._clock()
         while self._suspected:
--- a/packages/pondquay/src/pondquay/routing/directory.py
+++ b/packages/pondquay/src/pondquay/routing/directory.py
@@ -1,4 +1,4 @@
-"""The upstreams that an instance has heard of, from a list that lags and forgets."""
+"""Upstreams that an instance knows, from a list that lags and may lose rows."""
 
 from __future__ import annotations
 
@@ -17,44 +17,44 @@
     from pondquay.routing.ratelimits import RateLimit
     from pondquay.routing.upstreamrecords import UpstreamRecord
 
-# Departures that an instance remembers: more than a day of releases in a large fleet.
-# Each is for news that comes late: by a list that lags, or by a link after a cut.
+# Departures that are kept for late updates, from a lagging list or from a peer after a
+# partition: more than a day of releases in a large fleet.
 MAX_DEPARTURES = 4096
-# For which the limit of one that has left is kept, in seconds: longer than a row takes
-# to come back that lapsed in an outage of the store.
-LIMIT_KEPT_SECONDS = 60.0
+# Seconds for which the limit of a departed upstream is kept: longer than a row that
+# expired in an outage of the store takes to return.
+LIMIT_RETENTION_SECONDS = 60.0
 
 
 class UpstreamDirectory:
-    """Upstreams by service; the first sign that one leaves is final.
+    """Known upstreams by service; the first signal of a departure is final.
 
-    Each life of an upstream has a name of its own, so one that has left never comes
-    back. Which of two lives in one row is the later one is told by the versions of the
-    row alone. A row that goes while the list is followed is such a sign as well, and
-    no later trouble of the store takes it back; only a newer row does.
+    Each incarnation of an upstream has its own name, so a departed incarnation never
+    returns. Of two incarnations in the same row, the row with the higher version has
+    the later one. The removal of a row while the list is synced also means a departure:
+    a later outage of the store does not revoke it, only a newer row does.
 
-    :param clock: tells the time in seconds
-    :param confirmed: returns the moment as of which the list was whole before the row
-        that is being taken in, in seconds, ``None`` if it never was
-    :ivar evacuations: the domains that operators have emptied
+    :param clock: returns the time in seconds
+    :param last_complete_at: returns the time as of which the list was complete before
+        the row that is being applied, in seconds, ``None`` if it never was
+    :ivar evacuations: the domains that operators have evacuated
     :ivar reach: the domains that cannot be reached from here
     """
 
     def __init__(
         self,
         clock: Callable[[], float],
-        confirmed: Callable[[], float | None] = lambda: None,
+        last_complete_at: Callable[[], float | None] = lambda: None,
     ) -> None:
         self._clock = clock
-        self._confirmed = confirmed
+        self._last_complete_at = last_complete_at
         self.evacuations = Evacuations(clock)
         self.reach = DomainReach()
         self._watch = ListWatch()
-        # By the names of lives.
+        # By the names of incarnations.
         self._known: dict[str, KnownUpstream] = {}
         self._departures: dict[str, Departure] = {}
-        # By the names of rows: the life that each was last known to name, and the
-        # newest version at which it is known to have been gone.
+        # By the names of rows: the incarnation last known to be in the row, and the
+        # newest version at which the row is known to have been missing.
         self._listed: dict[str, str] = {}
         self._removed: dict[str, int] = {}
 
@@ -62,55 +62,60 @@
         return len(self._known)
 
     def all(self) -> list[KnownUpstream]:
-        """Return all that are known."""
+        """Return all known upstreams."""
         return list(self._known.values())
 
     def list_departed(self) -> list[str]:
-        """Return the names of those that get no new work any more."""
+        """Return the names of those that get no new requests."""
         now = self._clock()
-        return [one.name for one in self._known.values() if one.has_departed(now)]
+        return [
+            upstream.name
+            for upstream in self._known.values()
+            if upstream.has_departed(now)
+        ]
 
     def count_present(self) -> int:
         """Return how many are listed and not leaving."""
         return sum(
-            not one.leaving and one.missing_since is None
-            for one in self._known.values()
+            not upstream.leaving and upstream.missing_since is None
+            for upstream in self._known.values()
         )
 
     def count_backing_off(self) -> int:
-        """Return how many want no request of this instance now."""
+        """Return how many accept no request of this instance now."""
         now = self._clock()
-        return sum(one.in_backoff(now) for one in self._known.values())
+        return sum(upstream.in_backoff(now) for upstream in self._known.values())
 
     def count_limited(self) -> int:
-        """Return how many have named a limit for all instances."""
+        """Return how many have a rate limit for all instances."""
         return len(self.list_limited())
 
     def list_limited(self) -> list[KnownUpstream]:
-        """Return those that have named a limit for all instances."""
-        return [one for one in self._known.values() if one.is_limited()]
+        """Return those that have a rate limit for all instances."""
+        return [upstream for upstream in self._known.values() if upstream.is_limited()]
 
     def find(self, name: str) -> KnownUpstream | None:
-        """Return an upstream by the name of its life."""
+        """Return an upstream by the name of its incarnation."""
         return self._known.get(name)
 
     def find_listed(self, row: str) -> KnownUpstream | None:
-        """Return the life that a row was last known to name."""
+        """Return the incarnation last known to be in a row."""
         incarnation = self._listed.get(row)
         return None if incarnation is None else self._known.get(incarnation)
 
     def departures(self) -> list[Departure]:
-        """Return what is known of those that leave, the newest last."""
+        """Return the known departures, the newest last."""
         return list(self._departures.values())
 
     def find_departure(self, name: str) -> Departure | None:
-        """Return the news that an upstream leaves, if it does."""
+        """Return the departure of an incarnation, if it is known."""
         return self._departures.get(name)
 
     def put(self, record: UpstreamRecord, version: int) -> KnownUpstream | None:
-        """Take in a row of the list; ``None`` if it says nothing new.
+        """Apply a row of the list.
 
-        Most rows are heartbeats, which only prove that the upstream lives.
+        :returns: the upstream, ``None`` if nothing changed, as with most rows, which
+            are heartbeats
         """
         name, incarnation = record.name, record.incarnation
         if record.leaving:
@@ -119,7 +124,8 @@
         if listed is not None and listed.name != incarnation:
             if listed.version >= version:
                 return None
-            # Also by a row that is gone by now: it shows that another life began.
+            # Even if the row has been removed since, it shows that the upstream has
+            # restarted.
             self._end_incarnation(listed)
         if self._removed.get(name, 0) >= version:
             return None
@@ -132,30 +138,33 @@
             return None
         departure = self._departures.get(incarnation)
         if departure is not None and departure.version is not None:
-            # It had only lapsed.
+            # The row had only expired.
             del self._departures[incarnation]
             departure = None
-        is_news = (
+        is_new = (
             known is None or known.missing_since is not None or known.record != record
         )
         is_written = known is None or known.version < version
         if known is None:
             known = self._known[incarnation] = KnownUpstream(record, version)
         if is_written and not record.leaving:
-            known.note_written(self._confirmed())
+            known.note_written(self._last_complete_at())
         if listed is not None and listed is not known:
-            known.doubt(listed)
+            known.inherit_signals(listed)
         self._listed[name] = incarnation
         known.record = record
         known.version = version
         known.missing_since = None
-        known.expires = None
+        known.expires_at = None
         known.leaving = known.leaving or departure is not None
         known.note_cold(record.cold, self._clock())
-        return known if is_news else None
+        return known if is_new else None
 
     def remove(self, name: str, version: int) -> KnownUpstream | None:
-        """Take in that a row is gone, ``None`` if that is not new."""
+        """Apply the removal of a row.
+
+        :returns: the upstream, ``None`` if nothing changed
+        """
         removed = self._remove(name, version)
         self._forget_departed()
         return removed
@@ -167,67 +176,72 @@
             return None
         now = self._clock()
         known.missing_since = now
-        known.expires = self._watch.plan_expiry(now)
+        known.expires_at = self._watch.plan_expiry(now)
         if self._watch.is_departure(now):
             self._remember(Departure(name, version, known.record.born))
         return known
 
     def discard(self, name: str, version: int) -> KnownUpstream | None:
-        """Take in that a row says nothing that can be used, ``None`` if not new.
+        """Apply a row that cannot be read, which some other program has written.
+
+        Its upstream gets no requests, even where no other is left, until it writes the
+        row again.
 
-        What it named before is not tried, whatever else is left: somebody else has
-        written the row. The next row that its upstream writes brings it back.
+        :returns: the upstream, ``None`` if nothing changed
         """
         self._note_removed(name, version)
         known = self.find_listed(name)
         if known is None or known.version > version:
             return None
         now = self._clock()
-        is_news = not known.has_departed(now)
+        is_new = not known.has_departed(now)
         known.missing_since = known.missing_since or now
-        known.expires = now
-        return known if is_news else None
+        known.expires_at = now
+        return known if is_new else None
 
     def replace(
         self, records: Mapping[str, tuple[UpstreamRecord, int]], at: int
     ) -> list[KnownUpstream]:
-        """Take in the whole list as it was at some version.
+        """Apply a snapshot of the whole list.
 
-        A list that is older than what is known removes nothing newer.
+        A snapshot that is older than a known row does not remove that row.
 
-        :returns: those of which it says something new
+        :param at: version of the snapshot
+        :returns: the upstreams that changed
         """
         changed = [self.put(record, version) for record, version in records.values()]
         for name, incarnation in list(self._listed.items()):
             if name not in records and self._known[incarnation].version <= at:
                 changed.append(self._remove(name, at))
         self._forget_departed()
-        return [one for one in changed if one is not None]
+        return [upstream for upstream in changed if upstream is not None]
 
     def note_synced(self) -> None:
-        """Learn that the list is being followed, also after an interruption."""
+        """Record that the list is being followed, also after an interruption."""
         now = self._clock()
-        self._watch.begin(now)
+        self._watch.note_synced(now)
         for known in self._known.values():
-            if known.missing_since is not None and known.expires is None:
-                known.expires = self._watch.plan_expiry(now)
+            if known.missing_since is not None and known.expires_at is None:
+                known.expires_at = self._watch.plan_expiry(now)
 
     def note_disconnected(self) -> None:
-        """Learn that the list cannot be followed.
+        """Record that the list cannot be followed.
 
-        What lapsed shortly before may still be there: it had no time to come back.
+        Upstreams whose rows expired shortly before may still be there, since they had
+        no time to write them again.
         """
         now = self._clock()
-        self._watch.interrupt(now)
+        self._watch.note_disconnected(now)
         for incarnation, known in self._known.items():
-            pending = known.expires is not None and known.expires > now
+            pending = known.expires_at is not None and known.expires_at > now
             if pending and incarnation not in self._departures:
-                known.expires = None
+                known.expires_at = None
 
     def note_leaving(self, name: str, born: int | None = None) -> bool:
-        """Note an upstream's own sign that it leaves; tell whether that is new.
+        """Record that an upstream announced its departure; return whether it is new.
 
-        It is kept for lives that are not known yet: a list that lags may bring them.
+        It is also kept for unknown incarnations, since a list that lags may still
+        return their rows.
         """
         departure = Departure(name, None, born)
         if self._departures.get(departure.incarnation) == departure:
@@ -241,24 +255,27 @@
     def note_announced_leaving(
         self, upstream: KnownUpstream, delivered_at: float
     ) -> bool:
-        """Note that an answer of an upstream says that it leaves.
+        """Record that a response of an upstream announces its departure.
 
-        :param delivered_at: by when the request had reached it, in seconds
+        :param delivered_at: latest time at which the request can have been delivered,
+            in seconds
         :returns: whether that is new
         """
-        upstream.said_leaving_at = self._clock()
-        self._note_reached(upstream, delivered_at)
+        upstream.announced_leaving_at = self._clock()
+        self._note_delivered(upstream, delivered_at)
         return self.note_leaving(upstream.record.name, upstream.record.born)
 
     def note_backoff(
         self, upstream: KnownUpstream, seconds: float, delivered_at: float
     ) -> None:
-        """Note that an answer of an upstream asks for some seconds without a request.
+        """Record that a response of an upstream asks for a back-off.
 
-        :param delivered_at: by when the request had reached it, in seconds
+        :param seconds: duration of the back-off
+        :param delivered_at: latest time at which the request can have been delivered,
+            in seconds
         """
         upstream.note_backoff(seconds, self._clock())
-        self._note_reached(upstream, delivered_at)
+        self._note_delivered(upstream, delivered_at)
 
     def note_limit(
         self,
@@ -267,25 +284,29 @@
         requested_at: float,
         delivered_at: float,
     ) -> bool:
-        """Note what an answer of an upstream says of how much it takes.
+        """Record the rate limit that a response of an upstream reports.
 
         :param requested_at: when the request was placed, in seconds
-        :param delivered_at: by when it had reached the upstream, in seconds
-        :returns: whether it is another limit than was known
+        :param delivered_at: latest time at which it can have been delivered, in seconds
+        :returns: whether the rate changed
         """
-        is_other = upstream.note_limit(limit, requested_at)
+        has_changed = upstream.note_limit(limit, requested_at)
         if limit.rate is not None:
-            self._note_reached(upstream, delivered_at)
-        return is_other
+            self._note_delivered(upstream, delivered_at)
+        return has_changed
 
-    def _note_reached(self, upstream: KnownUpstream, delivered_at: float) -> None:
+    def _note_delivered(self, upstream: KnownUpstream, delivered_at: float) -> None:
+        """Record when a request was delivered whose response carried a signal.
+
+        The signal may be from the incarnation that is listed by now.
+        """
         upstream.delivered_at = max(upstream.delivered_at, delivered_at)
         later = self.find_listed(upstream.record.name)
         if later is not None and later is not upstream:
-            later.doubt(upstream)
+            later.inherit_signals(upstream)
 
     def receive(self, departure: Departure) -> bool:
-        """Take in what another instance knows; tell whether that is new."""
+        """Apply a departure that a peer reports; return whether it is new."""
         if departure.version is None:
             return self.note_leaving(departure.name, departure.born)
         known = self._known.get(departure.incarnation)
@@ -298,38 +319,42 @@
         if known is not None:
             now = self._clock()
             known.missing_since = known.missing_since or now
-            known.expires = min(now + MISSING_GRACE_SECONDS, known.expires or math.inf)
+            known.expires_at = min(
+                now + MISSING_GRACE_SECONDS, known.expires_at or math.inf
+            )
         return True
 
     def forget_instance(self, instance: str) -> None:
-        """Forget what another instance has waiting, since it cannot be heard."""
+        """Forget the waiting prompts of another instance that cannot be reached."""
         for known in self._known.values():
             known.prompts.receive(instance, 0)
 
     def candidates(self, service: str) -> list[KnownUpstream]:
-        """Return those that may get new work; none of an emptied domain may.
+        """Return those that may get new requests, none of them in an evacuated domain.
 
-        Rows vanish when an upstream leaves without a word, but also when the list's
-        store is in trouble. Vanished ones are tried only where nothing else is left,
-        and until they are taken to have left.
+        A row is missing after an upstream left without announcing it, but also in an
+        outage of the list's store. So upstreams with missing rows are used only where
+        no other is left, until they count as departed.
         """
         now = self._clock()
         evacuated = self.evacuations.evacuated
         of_service = [
-            one
-            for one in self._known.values()
-            if one.record.service == service
-            and one.record.domain not in evacuated
-            and not one.has_departed(now)
+            upstream
+            for upstream in self._known.values()
+            if upstream.record.service == service
+            and upstream.record.domain not in evacuated
+            and not upstream.has_departed(now)
+        ]
+        present = [
+            upstream for upstream in of_service if upstream.missing_since is None
         ]
-        present = [one for one in of_service if one.missing_since is None]
         return present or of_service
 
     def note_restored(self, domain: str, cold: Callable[[str], float]) -> None:
-        """Learn that an emptied domain gets work again.
+        """Record that an evacuated domain gets requests again.
 
-        Its upstreams may have turned cold shortly before, which the list tells up to
-        two seconds late; until then they are taken to be.
+        Its upstreams may have turned cold shortly before, which the list shows up to
+        two seconds late, so they count as cold at first.
 
         :param cold: returns the seconds for which upstreams of a service are cold
         """
@@ -350,29 +375,29 @@
         _drop_oldest(self._departures)
 
     def _end_incarnation(self, known: KnownUpstream) -> None:
-        """Take in that another life of an upstream has begun."""
+        """Record that another incarnation of an upstream has started."""
         self.note_leaving(known.record.name, known.record.born)
         known.missing_since = known.missing_since or self._clock()
 
     def _forget_departed(self) -> None:
-        """Drop those that have left and run nothing of this instance any more.
+        """Drop departed upstreams that run no request of this instance.
 
-        One that asked to back off is kept until that has passed, and one that named a
-        limit for a while: its row may come back.
+        An upstream in back-off is kept until the back-off ends, and an upstream with a
+        rate limit for ``LIMIT_RETENTION_SECONDS``, since its row may return.
         """
         now = self._clock()
         for name, known in list(self._known.items()):
-            is_gone = known.missing_since is not None and known.has_departed(now)
-            said_lately = known.in_backoff(now) or (
-                known.is_limited() and known.limit.age(now) < LIMIT_KEPT_SECONDS
+            is_departed = known.missing_since is not None and known.has_departed(now)
+            has_signals = known.in_backoff(now) or (
+                known.is_limited() and known.limit.age(now) < LIMIT_RETENTION_SECONDS
             )
-            if is_gone and known.running == 0 and not said_lately:
+            if is_departed and known.running == 0 and not has_signals:
                 del self._known[name]
                 if self._listed.get(known.record.name) == name:
                     del self._listed[known.record.name]
 
 
 def _drop_oldest(entries: dict[str, Any]) -> None:
-    """Keep no more than are ever asked for again."""
+    """Drop the oldest entry once there are too many."""
     if len(entries) > MAX_DEPARTURES:
         del entries[next(iter(entries))]
--- a/packages/pondquay/src/pondquay/routing/domainreach.py
+++ b/packages/pondquay/src/pondquay/routing/domainreach.py
@@ -1,41 +1,38 @@
-"""Which failure domains cannot be reached from an instance, by its own connections.
+"""Failure domains that cannot be reached from an instance, by its own connections.
 
-Upstreams of a domain go dark together: the domain is cut off, or it is without power.
-An instance that judges each upstream by itself finds that out once for each, and every
-time a caller waits for a connection that does not come. Here a second one is enough, if
-nothing at all was heard from the domain since the first.
+Upstreams of a domain become unreachable together in a partition or a power failure.
+Two failed connections without a response from the domain in between are enough here, so
+that callers don't wait for a connection timeout at each of its upstreams in turn.
 """
 
 from __future__ import annotations
 
-# Upstreams of a domain that fail in a row, with nothing heard from any, for the domain
-# to count as dark. One alone is often a single crash: a sixth of a service's upstreams
-# may be down at the same time in an ordinary fault.
+# Upstreams of a domain that fail in a row, without a response from any, until the
+# domain counts as unreachable. A single failure is often just a crash.
 UNREACHABLE_UPSTREAMS = 2
-# Seconds after the last failure for which a dark domain is left to others. Then it is
-# tried again, at the price of half a second of one or two callers.
+# Seconds after the last failure until an unreachable domain is tried again.
 UNREACHABLE_SECONDS = 1.0
 
 
 class DomainReach:
-    """What an instance's connections tell of each failure domain."""
+    """Reachability of each failure domain by an instance's own connections."""
 
     def __init__(self) -> None:
         self._failed: dict[str, set[str]] = {}
         self._failed_at: dict[str, float] = {}
 
     def note_failed(self, domain: str, upstream: str, now: float) -> None:
-        """Note that no connection to an upstream could be made."""
+        """Record a failed connection to an upstream."""
         self._failed.setdefault(domain, set()).add(upstream)
         self._failed_at[domain] = now
 
     def note_response(self, domain: str) -> None:
-        """Note that an upstream of the domain has said something."""
+        """Record a response of any upstream of the domain."""
         if domain in self._failed:
             del self._failed[domain]
 
     def is_unreachable(self, domain: str, now: float) -> bool:
-        """Tell whether the domain should be left to others for the moment."""
+        """Return whether the domain is to be avoided for now."""
         failed = self._failed.get(domain)
         if failed is None or len(failed) < UNREACHABLE_UPSTREAMS:
             return False
--- a/packages/pondquay/src/pondquay/routing/evacuations.py
+++ b/packages/pondquay/src/pondquay/routing/evacuations.py
@@ -1,8 +1,8 @@
-"""Which failure domains operators have emptied: their upstreams get no new work.
+"""Evacuated failure domains: their upstreams get no new requests.
 
-The operators' row of a domain stands in the platform's table for as long as the domain
-is to stay empty. An instance hears of it from the table or from a peer, late and in any
-order; of two pieces of news the one with the newer version of the table holds.
+A domain is evacuated while the operators' row for it is in the platform's table. An
+instance receives updates from the table or from a peer, late and in any order; of two
+updates, the one with the newer version of the table applies.
 """
 
 from __future__ import annotations
@@ -16,10 +16,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Evacuation:
-    """News of one failure domain.
+    """The state of one failure domain at a version of the table.
 
-    :param version: of the table, at which the row was written or was gone
-    :param evacuated: whether the domain is emptied, or was taken back
+    :param version: version at which the row was written or removed
+    :param evacuated: ``False`` if the domain was restored
     """
 
     domain: str
@@ -29,71 +29,77 @@
 
 @dataclass(frozen=True, slots=True)
 class _ReceivedUpdate:
-    news: Evacuation
-    at: float
+    update: Evacuation
+    received_at: float
 
 
 class Evacuations:
-    """What an instance knows of emptied domains.
+    """The evacuated domains as one instance knows them.
 
-    :param clock: tells the time in seconds
+    :param clock: returns the time in seconds
     """
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self._clock = clock
         self._updates: dict[str, _ReceivedUpdate] = {}
         self._evacuated: frozenset[str] = frozenset()
-        # Up to this version the table is known as a whole, so older news of any domain
-        # has been overtaken: also of one that a list before that had lacked as well.
-        self._read_at = 0
+        # The whole table is known up to this version, so an older update of any domain
+        # is outdated, also where no row of that domain was ever received.
+        self._read_version = 0
 
     @property
     def evacuated(self) -> frozenset[str]:
-        """The domains whose upstreams get no new work."""
+        """The domains whose upstreams get no new requests."""
         return self._evacuated
 
     @property
     def version(self) -> int:
-        """The newest version at which a domain was emptied or taken back, or 0."""
-        return max((one.news.version for one in self._updates.values()), default=0)
+        """The newest version at which a domain was evacuated or restored, or 0."""
+        return max(
+            (received.update.version for received in self._updates.values()), default=0
+        )
 
     def updates(self) -> list[Evacuation]:
-        """Return the newest news of each domain."""
-        return [one.news for one in self._updates.values()]
-
-    def merge(self, news: Evacuation) -> bool:
-        """Take in news; tell whether it is newer than what was known."""
-        before = self._updates.get(news.domain)
-        known = 0 if before is None else before.news.version
-        if news.version <= max(known, self._read_at):
+        """Return the newest update of each domain."""
+        return [received.update for received in self._updates.values()]
+
+    def merge(self, update: Evacuation) -> bool:
+        """Apply an update; return whether it is newer than what was known."""
+        before = self._updates.get(update.domain)
+        known = 0 if before is None else before.update.version
+        if update.version <= max(known, self._read_version):
             return False
-        self._updates[news.domain] = _ReceivedUpdate(news, self._clock())
+        self._updates[update.domain] = _ReceivedUpdate(update, self._clock())
         self._evacuated = frozenset(
-            one.news.domain for one in self._updates.values() if one.news.evacuated
+            received.update.domain
+            for received in self._updates.values()
+            if received.update.evacuated
         )
         return True
 
     def replace(self, evacuated: Mapping[str, int], at: int) -> list[Evacuation]:
-        """Take in all rows as they stood at some version, perhaps an old one.
+        """Apply a snapshot of the whole table, possibly an old one.
 
-        :param evacuated: for each emptied domain the version of its row
-        :returns: what of it is new here
+        :param evacuated: version of the row of each evacuated domain
+        :param at: version of the snapshot
+        :returns: the updates that are new
         """
         found = [Evacuation(name, version, True) for name, version in evacuated.items()]
         found += [
             Evacuation(name, at, False)
-            for name, update in self._updates.items()
-            if update.news.evacuated and name not in evacuated
+            for name, received in self._updates.items()
+            if received.update.evacuated and name not in evacuated
         ]
-        changed = [one for one in found if self.merge(one)]
-        self._read_at = max(self._read_at, at)
+        changed = [update for update in found if self.merge(update)]
+        self._read_version = max(self._read_version, at)
         return changed
 
     def describe(self) -> str:
-        """Return the emptied domains with version and age, for logs."""
+        """Return the evacuated domains with version and age, for logs."""
         now = self._clock()
         return ",".join(
-            f"{one.news.domain}@{one.news.version}+{now - one.at:.1f}s"
-            for one in self._updates.values()
-            if one.news.evacuated
+            f"{received.update.domain}@{received.update.version}"
+            f"+{now - received.received_at:.1f}s"
+            for received in self._updates.values()
+            if received.update.evacuated
         )
--- a/packages/pondquay/src/pondquay/routing/issuers.py
+++ b/packages/pondquay/src/pondquay/routing/issuers.py
@@ -1,12 +1,13 @@
-"""Which instance issues the permits of a limited upstream.
+"""Selection of the instance that issues the permits of a limited upstream.
 
-In each domain instances agree by rendezvous hashing on one that speaks for it, and the
-one that speaks for the upstream's own domain issues. An instance asks the one that
-speaks for its domain, and that one the issuer, so no instance needs links to all.
+By rendezvous hashing, the instances of each domain agree on a representative. The
+representative of the upstream's own domain issues the permits. An instance requests
+them from its domain's representative, and the representative from the issuer, so no
+instance needs links to all others.
 
-At no time do two instances that know each other both issue: one that has come up or has
-lost the one before it waits until the others have noticed as well. Where none issues
-nothing is sent to the upstream, and requests go to others.
+No two instances that know each other issue at the same time: an instance that has
+started or has lost the previous issuer waits until the others have noticed as well.
+While no instance issues, requests go to other upstreams.
 """
 
 from __future__ import annotations
@@ -18,34 +19,34 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Mapping
 
-# After which one that has come up takes over, and one that cannot be heard is replaced,
-# in seconds: all others have noticed by then.
+# Seconds after which a new instance takes over and a lost instance is replaced: by
+# then, all others have noticed.
 TAKEOVER_SECONDS = 3.0
-# An instance does not issue before this long after its start, in seconds: one that did
-# it until then sees it come up a little later.
-START_SECONDS = 4.0
-# Those to which there are links by this time after the own start may have been there
-# long before, in seconds.
-EARLY_SECONDS = 2.0
-# Instances of another domain that are tried before the domain counts as out of reach.
-MAX_SPEAKERS = 3
-# A wish for a link is forgotten if it is not repeated for this long, in seconds; few
-# requests may come for a limited upstream.
-WISH_SECONDS = 30.0
+# Minimum uptime of a representative, in seconds: the previous representative notices
+# the new instance a little after it has started.
+STARTUP_SECONDS = 4.0
+# A link made within this time after the own start, in seconds, may be to an instance
+# that all others have known for long.
+INITIAL_LINK_SECONDS = 2.0
+# Instances of another domain that are tried until the domain counts as unreachable.
+MAX_REPRESENTATIVES = 3
+# A request for a link expires if it is not repeated for this long, in seconds; there
+# may be few requests for a limited upstream.
+LINK_REQUEST_SECONDS = 30.0
 
 
 class LinkedPeers:
-    """The peers that know limits, by the links to them.
+    """Links to the peers that support rate limits.
 
-    :param clock: tells the time in seconds
+    :param clock: returns the time in seconds
     """
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self._clock = clock
         self._started_at = clock()
         self._linked_at: dict[str, float] = {}
-        self._lost_at: dict[str, float] = {}
-        self._wished: dict[str, tuple[float, float]] = {}
+        self._disconnected_at: dict[str, float] = {}
+        self._requested: dict[str, tuple[float, float]] = {}
 
     @property
     def uptime(self) -> float:
@@ -53,68 +54,72 @@
         return self._clock() - self._started_at
 
     def note_linked(self, peer: str) -> None:
-        """Learn that a peer that knows limits can be asked."""
+        """Record a link to a peer; a short interruption does not reset its age."""
         if self.is_linked(peer):
             return
         now = self._clock()
-        self._wished.pop(peer, None)
-        lost_at = self._lost_at.pop(peer, None)
-        if lost_at is None or now - lost_at >= TAKEOVER_SECONDS:
+        self._requested.pop(peer, None)
+        disconnected_at = self._disconnected_at.pop(peer, None)
+        if disconnected_at is None or now - disconnected_at >= TAKEOVER_SECONDS:
             self._linked_at[peer] = now
 
     def note_disconnected(self, peer: str) -> None:
-        """Learn that a peer cannot be asked any more."""
-        if peer in self._linked_at and peer not in self._lost_at:
-            self._lost_at[peer] = self._clock()
+        """Record the loss of the link to a peer."""
+        if peer in self._linked_at and peer not in self._disconnected_at:
+            self._disconnected_at[peer] = self._clock()
 
     def is_linked(self, peer: str) -> bool:
-        """Tell whether a peer can be asked."""
-        return peer in self._linked_at and peer not in self._lost_at
+        """Return whether there is a link to a peer."""
+        return peer in self._linked_at and peer not in self._disconnected_at
 
-    def is_settled(self, peer: str) -> bool:
-        """Tell whether all others know that a peer is there."""
+    def is_established(self, peer: str) -> bool:
+        """Return whether a peer has been linked for so long that all others know it."""
         if not self.is_linked(peer):
             return False
         linked_at = self._linked_at[peer]
-        if linked_at - self._started_at < EARLY_SECONDS:
+        if linked_at - self._started_at < INITIAL_LINK_SECONDS:
             return True
         return self._clock() - linked_at >= TAKEOVER_SECONDS
 
-    def is_missed(self, peer: str) -> bool:
-        """Tell whether a peer was lost so lately that it may still issue."""
-        lost_at = self._lost_at.get(peer)
-        return lost_at is not None and self._clock() - lost_at < TAKEOVER_SECONDS
+    def is_recently_lost(self, peer: str) -> bool:
+        """Return whether a peer was lost so recently that it may still issue."""
+        disconnected_at = self._disconnected_at.get(peer)
+        return (
+            disconnected_at is not None
+            and self._clock() - disconnected_at < TAKEOVER_SECONDS
+        )
 
     def request_link(self, peer: str) -> bool:
-        """Wish for a link to a peer; tell whether it may still come."""
+        """Request a link to a peer; return whether it may still be made soon."""
         now = self._clock()
-        since, last = self._wished.get(peer, (now, now))
-        if now - last > WISH_SECONDS:
+        since, last = self._requested.get(peer, (now, now))
+        if now - last > LINK_REQUEST_SECONDS:
             since = now
-        self._wished[peer] = (since, now)
+        self._requested[peer] = (since, now)
         return now - since < TAKEOVER_SECONDS
 
     def list_requested(self) -> frozenset[str]:
-        """Return the peers to which a link is wished for."""
+        """Return the peers to which a link is requested."""
         now = self._clock()
-        for peer, (_, last) in list(self._wished.items()):
-            if now - last > WISH_SECONDS:
-                del self._wished[peer]
-        return frozenset(self._wished)
+        for peer, (_, last) in list(self._requested.items()):
+            if now - last > LINK_REQUEST_SECONDS:
+                del self._requested[peer]
+        return frozenset(self._requested)
 
     def keep_only(self, members: Mapping[str, str]) -> None:
         """Forget peers that are no longer instances of the fleet."""
-        for known in (self._linked_at, self._lost_at):
-            for peer in [one for one in known if one not in members]:
+        for known in (self._linked_at, self._disconnected_at):
+            for peer in [name for name in known if name not in members]:
                 del known[peer]
 
 
 class IssuerSelector:
-    """Whom one instance asks for permits.
+    """Selects the instance from which this instance requests permits.
 
-    :param instance: its name
-    :param domains: returns the domain of each instance that is known; the mapping is
-        never changed, only replaced
+    :param instance: name of this instance
+    :param domain: failure domain of this instance
+    :param domains: returns the domain of each known instance; the mapping is replaced
+        when it changes, never modified
     """
 
     def __init__(
@@ -128,55 +133,57 @@
         self._domain = domain
         self._domains = domains
         self._peers = peers
-        self._ranked_of: Mapping[str, str] = {}
+        self._cached_domains: Mapping[str, str] = {}
         self._ranks: dict[str, dict[str, list[str]]] = {}
 
     def choose(self, upstream: str, domain: str) -> str | None:
-        """Return the instance to ask, the own one if it issues, ``None`` if none can.
+        """Return the instance to ask for permits.
 
         :param upstream: name of the upstream
-        :param domain: of the upstream
+        :param domain: domain of the upstream
+        :returns: the own name if this instance issues, ``None`` if there is no issuer
         """
         ranks = self._rank(upstream)
-        speaker = self._find_speaker(ranks[self._domain])
-        if speaker != self._instance:
-            return speaker
+        representative = self._find_representative(ranks[self._domain])
+        if representative != self._instance:
+            return representative
         order = sorted(
-            ranks, key=lambda one: (one != domain, score_pair(upstream, one))
+            ranks, key=lambda name: (name != domain, score_pair(upstream, name))
         )
         return self._find_issuer(ranks, order)
 
-    def _find_speaker(self, ranked: list[str]) -> str | None:
-        """Return who speaks for the own domain, ``None`` while that is not clear."""
+    def _find_representative(self, ranked: list[str]) -> str | None:
+        """Return the representative of the own domain, ``None`` during a takeover."""
         for name in ranked:
             if name == self._instance:
                 break
-            if self._peers.is_settled(name):
+            if self._peers.is_established(name):
                 return name
-            if self._peers.is_missed(name):
+            if self._peers.is_recently_lost(name):
                 return None
-        return self._instance if self._peers.uptime >= START_SECONDS else None
+        return self._instance if self._peers.uptime >= STARTUP_SECONDS else None
 
     def _find_issuer(
         self, ranks: Mapping[str, list[str]], order: list[str]
     ) -> str | None:
-        """Return who speaks for the first domain that can be reached."""
+        """Return the representative of the first domain that can be reached."""
         for domain in order:
             if domain == self._domain:
                 return self._instance
-            speakers = ranks[domain][:MAX_SPEAKERS]
-            for name in speakers:
+            representatives = ranks[domain][:MAX_REPRESENTATIVES]
+            for name in representatives:
                 if self._peers.is_linked(name):
                     return name
-            if any([self._peers.request_link(name) for name in speakers]):
+            # A list, so that a link is requested to each of them.
+            if any([self._peers.request_link(name) for name in representatives]):
                 return None
         return None
 
     def _rank(self, upstream: str) -> dict[str, list[str]]:
-        """Return the instances of each domain, in the order in which they speak."""
+        """Return the instances of each domain, preferred representatives first."""
         domains = self._domains()
-        if domains is not self._ranked_of:
-            self._ranked_of = domains
+        if domains is not self._cached_domains:
+            self._cached_domains = domains
             self._ranks.clear()
             self._peers.keep_only(domains)
         known = self._ranks.get(upstream)
@@ -187,6 +194,6 @@
 
 def _rank_all(upstream: str, domains: Mapping[str, str]) -> dict[str, list[str]]:
     ranked: dict[str, list[str]] = {}
-    for name in sorted(domains, key=lambda one: score_pair(upstream, one)):
+    for name in sorted(domains, key=lambda instance: score_pair(upstream, instance)):
         ranked.setdefault(domains[name], []).append(name)
     return ranked
--- a/packages/pondquay/src/pondquay/routing/knownupstreams.py
+++ b/packages/pondquay/src/pondquay/routing/knownupstreams.py
@@ -1,4 +1,4 @@
-"""One life of an upstream, and what an instance has seen of it."""
+"""One incarnation of an upstream, and what an instance has observed of it."""
 
 from __future__ import annotations
 
@@ -18,35 +18,37 @@
 
 @dataclass(slots=True)
 class KnownUpstream:
-    """An upstream and what this instance has seen of it.
-
-    :param version: of the list's row that the record is from
-    :param missing_since: when its row was gone, in seconds
-    :param expires: when it is taken to have left since its row is gone, in seconds;
-        ``None`` while its row may have lapsed for the store's sake
-    :param running: requests of this instance that are there now
-    :param prompts: what waits to be read there and what has been
-    :param pauses: how long its streams pause while it reads prompts
-    :param last_seen_at: when anything last came from it, in seconds
-    :param last_sent_at: when a request was last placed there, in seconds
-    :param cold_until: until when it may be cold, in seconds
-    :param backoff_until: until when it wants no request of this instance, in seconds
-    :param limit: what it takes from all instances together, as it last said
-    :param alive_at: a moment after which this life has written its row, in seconds
-    :param delivered_at: by when the latest request had reached its upstream whose
-        answer said something of the upstream, in seconds
-    :param said_leaving_at: when such an answer last said that it leaves, in seconds
-    :param doubted_since: set while an answer that said so may be this life's: when it
-        came, in seconds
-    :param permits: to send there while it is limited
-    :param issuer: issues them, where this instance does that
+    """An incarnation of an upstream and what this instance has observed of it.
+
+    All times are in seconds of this instance's clock.
+
+    :param version: version of the list's row that the record is from
+    :param missing_since: when its row was removed from the list
+    :param expires_at: when it counts as departed because its row is missing; ``None``
+        while the row may have expired in an outage of the store
+    :param running: requests of this instance that run there
+    :param prompts: its cached prompt parts and the tokens that wait for prefill
+    :param pauses: pauses of its streams during prefills
+    :param last_seen_at: when anything was last received from it
+    :param last_sent_at: when a request was last placed there
+    :param cold_until: time until which it may be cold
+    :param backoff_until: time until which this instance sends it no request
+    :param limit: its rate limit for all instances together, as last reported
+    :param written_after: a time after which this incarnation has written its row
+    :param delivered_at: latest time at which a request can have been delivered whose
+        response carried a signal; a later incarnation may have sent that response
+    :param announced_leaving_at: when a response last announced that it leaves
+    :param maybe_leaving_since: when a response announced a departure, either of this
+        incarnation or of the previous one; ``None`` if it is not of this incarnation
+    :param permits: permits to send there while it is limited
+    :param issuer: issues permits if this instance is the issuer
     """
 
     record: UpstreamRecord
     version: int
     leaving: bool = False
     missing_since: float | None = None
-    expires: float | None = None
+    expires_at: float | None = None
     running: int = 0
     prompts: PromptLoad = field(default_factory=PromptLoad)
     pauses: PauseRecord = field(default_factory=PauseRecord)
@@ -55,41 +57,41 @@
     cold_until: float = 0.0
     backoff_until: float = 0.0
     limit: RateLimit = NEVER_REPORTED
-    alive_at: float = -math.inf
+    written_after: float = -math.inf
     delivered_at: float = -math.inf
-    said_leaving_at: float = -math.inf
-    doubted_since: float | None = None
+    announced_leaving_at: float = -math.inf
+    maybe_leaving_since: float | None = None
     circuit: Circuit = field(default_factory=Circuit)
     permits: PermitCache = field(default_factory=PermitCache)
     issuer: PermitIssuer = field(default_factory=PermitIssuer)
 
     @property
     def name(self) -> str:
-        """The name of this life of the upstream."""
+        """The name of this incarnation."""
         return self.record.incarnation
 
     def note_cold(self, seconds: float, now: float) -> None:
-        """Learn that it may be cold for some more seconds.
+        """Record that it may be cold for some more seconds.
 
-        News of it is late and comes from several sides; the longest holds, since one
-        that gets its usual work while it is cold falls over.
+        Reports are late and come from several sources. The latest end applies, since a
+        cold upstream fails under its usual load.
         """
         self.cold_until = max(self.cold_until, now + seconds)
 
     def note_backoff(self, seconds: float, now: float) -> None:
-        """Learn that it wants no request of this instance for some more seconds.
+        """Record that it accepts no request of this instance for some more seconds.
 
-        Answers overtake each other, and each is meant by itself, so the longest holds.
+        Responses may arrive out of order, so the latest end applies.
         """
         self.backoff_until = max(self.backoff_until, now + seconds)
 
     def note_limit(self, limit: RateLimit, requested_at: float = math.inf) -> bool:
-        """Learn what it takes from all instances together; the newest word holds.
+        """Record its rate limit for all instances; the newest report applies.
 
-        :param requested_at: when the request was placed whose answer says so, in
-            seconds; one that was made before the word that is known does not lift a
-            limit
-        :returns: whether it is another limit than was known
+        :param requested_at: when the request was placed whose response reports the
+            limit, in seconds; a request from before the known report does not raise
+            the limit
+        :returns: whether the rate changed
         """
         known = self.limit
         if limit.reported_at < known.reported_at:
@@ -103,45 +105,54 @@
         return True
 
     def is_limited(self) -> bool:
-        """Tell whether it names a limit for all instances together."""
+        """Return whether it has a rate limit for all instances together."""
         return self.limit.rate is not None
 
     def in_backoff(self, now: float) -> bool:
-        """Tell whether it wants no request of this instance now."""
+        """Return whether it accepts no request of this instance now."""
         return now < self.backoff_until
 
     def has_departed(self, now: float) -> bool:
-        """Tell whether it gets no new work for good, or until a newer row comes."""
-        if self.leaving or self.doubted_since is not None:
+        """Return whether it gets no new requests, unless a newer row restores it."""
+        if self.leaving or self.maybe_leaving_since is not None:
             return True
-        return self.expires is not None and self.expires <= now
+        return self.expires_at is not None and self.expires_at <= now
 
     def note_written(self, after: float | None) -> None:
-        """Learn that it has written its row, which does not say that it leaves.
+        """Record that it has written its row without announcing that it leaves.
 
-        :param after: a moment after which it has, in seconds, ``None`` if none is known
+        :param after: a time after which it was written, in seconds, ``None`` if
+            unknown
         """
         if after is None:
             return
-        self.alive_at = max(self.alive_at, after)
-        if self.doubted_since is not None and self.alive_at >= self.doubted_since:
-            self.doubted_since = None
-
-    def doubt(self, before: KnownUpstream) -> None:
-        """Take over what answers said that may be this life's and not the one's before.
-
-        Until its row is read a life is taken for the one before. What an answer said is
-        surely of that one where it has written its row after the request reached it. A
-        back-off is taken over whole: it costs a life that did not ask for it some
-        seconds at one instance. A limit holds until its first answer. That it leaves
-        holds until it writes a row that does not say so, a heartbeat later at most.
+        self.written_after = max(self.written_after, after)
+        if (
+            self.maybe_leaving_since is not None
+            and self.written_after >= self.maybe_leaving_since
+        ):
+            self.maybe_leaving_since = None
+
+    def inherit_signals(self, previous: KnownUpstream) -> None:
+        """Copy signals from responses that this incarnation may have sent itself.
+
+        Until the row of a new incarnation is read, its responses are attributed to the
+        previous incarnation. If the previous incarnation wrote its row after the
+        request was delivered, it certainly sent the response itself.
+
+        A copied back-off applies in full, which at worst keeps this instance's requests
+        away for some seconds. A limit applies until this incarnation's first response.
+        An announced departure applies until this incarnation writes a row that does not
+        announce it, at most a heartbeat later.
         """
-        if before.delivered_at <= before.alive_at:
+        if previous.delivered_at <= previous.written_after:
             return
-        self.delivered_at = max(self.delivered_at, before.delivered_at)
-        self.backoff_until = max(self.backoff_until, before.backoff_until)
-        if before.is_limited():
-            self.note_limit(before.limit)
-        self.said_leaving_at = max(self.said_leaving_at, before.said_leaving_at)
-        if self.alive_at < self.said_leaving_at:
-            self.doubted_since = self.said_leaving_at
+        self.delivered_at = max(self.delivered_at, previous.delivered_at)
+        self.backoff_until = max(self.backoff_until, previous.backoff_until)
+        if previous.is_limited():
+            self.note_limit(previous.limit)
+        self.announced_leaving_at = max(
+            self.announced_leaving_at, previous.announced_leaving_at
+        )
+        if self.written_after < self.announced_leaving_at:
+            self.maybe_leaving_since = self.announced_leaving_at
--- a/packages/pondquay/src/pondquay/routing/pauses.py
+++ b/packages/pondquay/src/pondquay/routing/pauses.py
@@ -1,60 +1,61 @@
-"""How reading long prompts at one upstream disturbs the streams that run there.
+"""Effect of prefills on the streams that run at the same upstream.
 
-An engine reads a prompt piece by piece between the tokens of all that run beside it.
-Where it reads slowly, one long prompt stretches the pauses of every stream there beyond
-what their route allows. That shows in the pauses of this instance's own streams, so it
-needs no report and no knowledge of the engine.
+An engine prefills a prompt in chunks between the tokens of all running streams, so on
+a slow engine a long prompt stretches the pauses of every stream beyond what their
+routes allow. It is measured on this instance's own streams, without reports from the
+engine.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-# Part of the allowed pause from which a pause counts as one in which a prompt was read;
-# without reading, events come several times as fast.
-READING_PART = 0.5
-# Seconds after which a pause counts half: an upstream that was slow for a while is
-# given long prompts again.
+# Fraction of the allowed pause from which a pause is attributed to a prefill. Without a
+# prefill, events come several times as fast.
+PREFILL_PAUSE_FRACTION = 0.5
+# Half-life of the counts, so that an upstream recovers from a slow period.
 HALF_LIFE_SECONDS = 15.0
-# Pauses that were too long, as a part of those in which a prompt was read, from which
-# long prompts are kept away.
-BROKEN_PART = 0.15
-# Too long pauses that are needed for a verdict; one may be the network's.
-MIN_BROKEN = 1.5
+# Fraction of the prefill pauses that may be excessive.
+MAX_EXCESSIVE_FRACTION = 0.15
+# Minimum count of excessive pauses; a single pause may come from the network.
+MIN_EXCESSIVE_PAUSES = 1.5
 
 
 @dataclass(slots=True)
 class PauseRecord:
-    """Counts pauses of streams at one upstream, later ones more than earlier ones.
+    """Counts pauses of streams at one upstream with exponential decay.
 
-    :ivar reading: pauses in which a prompt was read
-    :ivar broken: those of them that were longer than the route allows
+    :ivar prefill: pauses attributed to a prefill
+    :ivar excessive: those of them that were longer than the route allows
     """
 
-    reading: float = 0.0
-    broken: float = 0.0
-    _at: float = 0.0
+    prefill: float = 0.0
+    excessive: float = 0.0
+    _updated_at: float = 0.0
 
     def note(self, pause: float, allowed: float, now: float) -> None:
-        """Take in a pause between two events.
+        """Record a pause between two events of a stream.
 
         :param pause: seconds
-        :param allowed: seconds, by the stream's route
+        :param allowed: longest pause that the stream's route allows, in seconds
         """
-        if pause < READING_PART * allowed:
+        if pause < PREFILL_PAUSE_FRACTION * allowed:
             return
-        self._fade(now)
-        self.reading += 1.0
+        self._decay(now)
+        self.prefill += 1.0
         if pause > allowed:
-            self.broken += 1.0
+            self.excessive += 1.0
 
     def breaks_streams(self, now: float) -> bool:
-        """Tell whether long prompts here make the pauses of other streams too long."""
-        self._fade(now)
-        return self.broken >= MIN_BROKEN and self.broken >= BROKEN_PART * self.reading
-
-    def _fade(self, now: float) -> None:
-        kept = 0.5 ** ((now - self._at) / HALF_LIFE_SECONDS)
-        self.reading *= kept
-        self.broken *= kept
-        self._at = now
+        """Return whether long prompts stretch the pauses of other streams too far."""
+        self._decay(now)
+        return (
+            self.excessive >= MIN_EXCESSIVE_PAUSES
+            and self.excessive >= MAX_EXCESSIVE_FRACTION * self.prefill
+        )
+
+    def _decay(self, now: float) -> None:
+        factor = 0.5 ** ((now - self._updated_at) / HALF_LIFE_SECONDS)
+        self.prefill *= factor
+        self.excessive *= factor
+        self._updated_at = now
--- a/packages/pondquay/src/pondquay/routing/permitcache.py
+++ b/packages/pondquay/src/pondquay/routing/permitcache.py
@@ -1,89 +1,89 @@
-"""The permits that an instance has for one limited upstream, and when it may ask."""
+"""Permits that an instance holds for one limited upstream, and when to request more."""
 
 from __future__ import annotations
 
 import math
 from collections import deque
 
-# The shortest pause between two asks, in seconds; what is needed in it is asked for at
-# once.
+# Minimum delay between two requests for permits, in seconds; each request covers the
+# demand expected until the next.
 MIN_PAUSE_SECONDS = 0.1
-# The time over which wishes are counted, in seconds.
+# Time constant of the exponentially decaying demand, in seconds.
 DEMAND_SECONDS = 1.0
 
 
 class PermitCache:
-    """Permits with the times until which they may be used.
+    """Permits with their expiry times, and the demand for them.
 
-    :ivar next_request_at: when more may be asked for, in seconds
-    :ivar source: the instance that was last asked, ``None`` if there was none to ask
+    :ivar next_request_at: when more may be requested, in seconds
+    :ivar source: the instance that was last asked, ``None`` if there was none
     """
 
     __slots__ = (
         "_demand",
+        "_demand_at",
+        "_expiries",
         "_refused",
-        "_until",
-        "_wished_at",
         "next_request_at",
         "source",
     )
 
     def __init__(self) -> None:
-        self._until: deque[float] = deque()
+        self._expiries: deque[float] = deque()
         self._demand = 0.0
-        self._wished_at = -math.inf
+        self._demand_at = -math.inf
         self._refused = 0
         self.next_request_at = -math.inf
         self.source: str | None = None
 
     def can_supply(self, now: float) -> bool:
-        """Tell whether there is a permit, or there may be one for the asking."""
+        """Return whether there is a permit, or more may be requested."""
         return self.count(now) > 0 or now >= self.next_request_at
 
     def count(self, now: float) -> int:
-        """Return how many permits there are."""
-        while self._until and self._until[0] <= now:
-            self._until.popleft()
-        return len(self._until)
+        """Return how many permits are valid."""
+        while self._expiries and self._expiries[0] <= now:
+            self._expiries.popleft()
+        return len(self._expiries)
 
     def take(self, now: float) -> bool:
-        """Use a permit, if there is one."""
+        """Use a permit; return ``False`` if there is none."""
         if not self.count(now):
             return False
-        self._until.popleft()
+        self._expiries.popleft()
         return True
 
     def note_demand(self, now: float) -> None:
-        """Count a request that would be sent to the upstream."""
-        faded = math.exp((self._wished_at - now) / DEMAND_SECONDS)
-        self._demand = self._demand * faded + 1.0
-        self._wished_at = now
+        """Count a request that is to be sent to the upstream."""
+        decayed = math.exp((self._demand_at - now) / DEMAND_SECONDS)
+        self._demand = self._demand * decayed + 1.0
+        self._demand_at = now
 
     def count_needed(self) -> int:
-        """Return how many permits to ask for."""
+        """Return how many permits to request, at least 1."""
         expected = self._demand / DEMAND_SECONDS * MIN_PAUSE_SECONDS
         return max(1, math.ceil(expected))
 
     def add(self, count: int, until: float, pause: float, now: float) -> None:
-        """Take in what came of an ask.
+        """Store the result of a request for permits.
 
-        :param until: when the permits end, in seconds
-        :param pause: seconds for which nothing should be asked
+        :param until: when the permits expire, in seconds
+        :param pause: seconds until more may be requested
         """
-        self._until.extend([until] * count)
+        self._expiries.extend([until] * count)
         self.next_request_at = now + max(pause, MIN_PAUSE_SECONDS)
         self._refused = 0
 
     def plan_retry(self, now: float) -> float:
-        """Return the seconds after which a caller that is refused should come again.
+        """Return the seconds after which a refused caller should retry.
 
-        An instance gets a permit about once in its pause, so callers are told to come
-        one after the other.
+        An instance gets about one permit per pause, so retries are spread over
+        successive pauses.
         """
         self._refused += 1
         pause = max(self.next_request_at - now, MIN_PAUSE_SECONDS)
         return pause * self._refused
 
     def reset(self) -> None:
-        """Learn that the upstream names another limit now."""
+        """Allow a new request at once, since the upstream's limit has changed."""
         self.next_request_at = -math.inf
--- a/packages/pondquay/src/pondquay/routing/policies.py
+++ b/packages/pondquay/src/pondquay/routing/policies.py
@@ -1,4 +1,4 @@
-"""The interface of routing policies, and the registry they announce themselves in."""
+"""Interface of routing policies, and the registry of implementations."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestProfile:
-    """What a policy is told of a request.
+    """The properties of a request that a routing policy considers.
 
-    :param tokens: the most tokens that it can cost
-    :param rank: priority, 0 is the most urgent
-    :param prefix: names the beginning of the prompt, empty if there is none
+    :param tokens: maximum tokens that it can cost
+    :param prefix: identifies the beginning of the prompt, empty if there is none
+    :param rank: index of its priority; 0 is the most urgent
     """
 
     tokens: int
@@ -34,9 +34,9 @@
 
     @abstractmethod
     def choose(
-        self, candidates: Sequence[Upstream], work: RequestProfile, random: Random
+        self, candidates: Sequence[Upstream], request: RequestProfile, random: Random
     ) -> Upstream:
-        """Return one of the candidates, of which there is at least one."""
+        """Return one of the candidates, which are never empty."""
 
 
 ROUTING_POLICIES: Registry[RoutingPolicy] = Registry("routing policy")
--- a/packages/pondquay/src/pondquay/routing/prefixes.py
+++ b/packages/pondquay/src/pondquay/routing/prefixes.py
@@ -14,7 +14,9 @@
     from pondquay.routing.policies import RequestProfile
     from pondquay.routing.upstreams import Upstream
 
+# Maximum load of a preferred upstream, relative to the mean load.
 LOAD_BOUND = 1.25
+# Allowance above that bound, in requests of the same size.
 SLACK_REQUESTS = 2
 
 
@@ -22,25 +24,29 @@
 class PrefixAffinity(RoutingPolicy):
     """Prefers an upstream that has the beginning of the prompt in its cache.
 
-    Cache events come late and with gaps, so they are hints: an upstream is preferred
-    only while its load stays within a bound of the mean.
+    Cache events are late and incomplete, so they are only hints: an upstream is
+    preferred only while its load stays within a bound of the mean.
     """
 
     def __init__(self) -> None:
         self._fallback = TwoChoices()
 
     def choose(
-        self, candidates: Sequence[Upstream], work: RequestProfile, random: Random
+        self, candidates: Sequence[Upstream], request: RequestProfile, random: Random
     ) -> Upstream:
         """Return the least loaded upstream with the prefix, or one of two choices."""
-        warm = [one for one in candidates if work.prefix in one.prefixes]
-        mean = sum(one.load / one.slots for one in candidates) / len(candidates)
-        within = [
-            one
-            for one in warm
-            if one.load / one.slots
-            <= LOAD_BOUND * mean + SLACK_REQUESTS * work.tokens / one.slots
+        warm = [
+            upstream for upstream in candidates if request.prefix in upstream.prefixes
         ]
-        if not work.prefix or not within:
-            return self._fallback.choose(candidates, work, random)
-        return min(within, key=lambda one: one.load / one.slots)
+        mean = sum(upstream.load / upstream.slots for upstream in candidates) / len(
+            candidates
+        )
+        eligible = [
+            upstream
+            for upstream in warm
+            if upstream.load / upstream.slots
+            <= LOAD_BOUND * mean + SLACK_REQUESTS * request.tokens / upstream.slots
+        ]
+        if not request.prefix or not eligible:
+            return self._fallback.choose(candidates, request, random)
+        return min(eligible, key=lambda upstream: upstream.load / upstream.slots)
--- a/packages/pondquay/src/pondquay/routing/promptload.py
+++ b/packages/pondquay/src/pondquay/routing/promptload.py
@@ -1,7 +1,7 @@
-"""Prompts at one upstream: which shared parts it has read, and how much it has yet to.
+"""Prompts at one upstream: cached shared parts and tokens that wait for prefill.
 
-What an instance sends there itself it knows at once, what others send it hears from
-them. Without that, each sees an idle upstream where the prompts of all queue up.
+An instance counts its own prompts at once and receives the counts of the others from
+them. Without these, each would see an idle upstream where the prompts of all queue up.
 """
 
 from __future__ import annotations
@@ -15,59 +15,59 @@
 
     from pondquay.routing.prompts import PromptPart
 
-# Shared parts that an upstream is taken to keep; those used longest ago give way.
-MAX_PARTS = 64
+# Shared parts that an upstream is assumed to cache, least recently used first out.
+MAX_CACHED_PARTS = 64
 
 
 @dataclass(slots=True)
 class PromptLoad:
-    """What waits to be read at an upstream, and what has been.
+    """The prompt tokens that wait for prefill at an upstream, and its cached parts.
 
-    :param own: prompt tokens of this instance that are not read yet
-    :param others: the same of other instances, by their names
+    :param own: waiting prompt tokens of this instance
+    :param others: waiting prompt tokens of other instances, by instance name
     """
 
     own: int = 0
     others: dict[str, int] = field(default_factory=dict)
-    _read: OrderedDict[str, None] = field(default_factory=OrderedDict)
+    _cached: OrderedDict[str, None] = field(default_factory=OrderedDict)
 
     @property
     def waiting(self) -> int:
-        """Prompt tokens of all instances that wait to be read."""
+        """Prompt tokens of all instances that wait for prefill."""
         return self.own + sum(self.others.values())
 
     def count_uncached(self, prefix: Iterable[PromptPart]) -> int:
-        """Return the tokens of a prompt that have to be read.
+        """Return the tokens of a prompt that need a prefill.
 
-        A part counts as read only if every part before it does as well.
+        A part counts as cached only if every part before it does as well.
         """
-        unread = 0
+        uncached = 0
         for part in prefix:
-            if unread or part.name not in self._read:
-                unread += part.tokens
-        return unread
+            if uncached or part.name not in self._cached:
+                uncached += part.tokens
+        return uncached
 
-    def count_until_read(self, prefix: Iterable[PromptPart]) -> int:
-        """Return the tokens to be read there before a prompt that comes now is."""
+    def count_until_prefilled(self, prefix: Iterable[PromptPart]) -> int:
+        """Return the tokens to prefill until a prompt that arrives now is done."""
         return self.waiting + self.count_uncached(prefix)
 
     def note_prefilled(self, parts: Iterable[str]) -> list[str]:
-        """Note shared parts that have been read there, in the order of the prompt.
+        """Record shared parts that have been prefilled, in the order of the prompt.
 
-        :returns: those that were not known to be
+        :returns: those that were not known to be cached
         """
         new = []
         for part in parts:
-            if part not in self._read:
+            if part not in self._cached:
                 new.append(part)
-            self._read[part] = None
-            self._read.move_to_end(part)
-        while len(self._read) > MAX_PARTS:
-            self._read.popitem(last=False)
+            self._cached[part] = None
+            self._cached.move_to_end(part)
+        while len(self._cached) > MAX_CACHED_PARTS:
+            self._cached.popitem(last=False)
         return new
 
     def receive(self, instance: str, tokens: int) -> None:
-        """Take in what another instance has waiting there."""
+        """Record the waiting prompt tokens that another instance reports."""
         if tokens:
             self.others[instance] = tokens
         else:
--- a/packages/pondquay/src/pondquay/routing/prompts.py
+++ b/packages/pondquay/src/pondquay/routing/prompts.py
@@ -1,4 +1,4 @@
-"""Prompts as placement sees them: parts in order, of which the first may be shared."""
+"""Prompts as placement sees them: ordered parts, of which the first may be shared."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 class PromptPart:
     """A part of a prompt.
 
-    :param name: the same for all prompts that share the part up to its end
+    :param name: the same for all prompts that are equal up to the end of this part
     """
 
     name: str
@@ -17,8 +17,8 @@
 
 
 def list_shared(prefix: tuple[PromptPart, ...]) -> list[str]:
-    """Return the names of the parts that other prompts share, in order.
+    """Return the names of the parts that other prompts may share, in order.
 
-    The last part of all belongs to the request itself, unless it is the only one.
+    The last part belongs to the request alone, unless it is the only part.
     """
     return [part.name for part in (prefix[:-1] or prefix)]
--- a/packages/pondquay/src/pondquay/routing/ratelimits.py
+++ b/packages/pondquay/src/pondquay/routing/ratelimits.py
@@ -1,8 +1,8 @@
-"""How many requests a second an upstream takes from all instances together.
+"""Rate limits of upstreams for all instances together, kept by permits.
 
-One instance issues the permits to send to a limited upstream, and each request that is
-sent there uses one. So the sum is bounded wherever callers are, and an instance that
-has all of them may use the whole limit.
+One instance issues the permits for a limited upstream, and each request sent there uses
+one. So the total rate is bounded wherever callers are, and an instance that receives
+all requests may use the whole limit.
 """
 
 from __future__ import annotations
@@ -10,40 +10,38 @@
 import math
 from dataclasses import dataclass
 
-# One request in this time is sent whatever the limit is, in seconds: only an answer
-# tells that a limit has gone.
+# One request per this interval, in seconds, is allowed under any limit, since only a
+# response reports that a limit has been lifted.
 PROBE_INTERVAL_SECONDS = 5.0
-# Permits that nobody asked for are kept for this long, in seconds.
+# Span for which permits accumulate while none is requested, in seconds.
 BURST_SECONDS = 0.25
-# Seconds after which a permit can no longer be used: those that lie about at instances
-# must not be used all at once.
+# Lifetime of a permit, in seconds; it bounds how many cached permits are used at once.
 PERMIT_LIFETIME_SECONDS = 1.0
-# An instance that has not asked for this long shares the limit no more, in seconds.
-ASKER_SECONDS = 4.0
-# Turns for each permit, where several instances share a limit: those whose turn it is
-# may want nothing then.
+# An instance that requests nothing for this long, in seconds, no longer takes turns.
+REQUESTER_EXPIRY_SECONDS = 4.0
+# Turns per permit where several instances share a limit, since some turns go unused.
 TURNS_PER_PERMIT = 2.0
-# The longest pause of an instance between two asks, in seconds.
+# Maximum delay between two requests of an instance for permits, in seconds.
 MAX_PAUSE_SECONDS = 3.0
 
 
 @dataclass(frozen=True, slots=True)
 class RateLimit:
-    """What an upstream last said of how much it takes.
+    """The rate limit that an upstream last reported.
 
-    :param rate: requests a second, ``None`` if it named no limit
-    :param reported_at: when its answer came, in seconds
+    :param rate: requests per second, ``None`` for no limit
+    :param reported_at: when its response was received, in seconds
     """
 
     rate: float | None
     reported_at: float
 
     def age(self, now: float) -> float:
-        """Return the seconds since it was said."""
+        """Return the seconds since it was reported."""
         return max(0.0, now - self.reported_at)
 
     def allows_more(self, other: RateLimit) -> bool:
-        """Tell whether it allows more than another one."""
+        """Return whether its rate is higher than that of another limit."""
         if other.rate is None:
             return False
         return self.rate is None or self.rate > other.rate
@@ -53,11 +51,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Issued:
-    """What an instance gets that asks for permits.
+class IssuedPermits:
+    """The result of a request for permits.
 
-    :param count: permits that it may use now
-    :param pause: seconds after which it should ask again, not before
+    :param count: permits that the instance may use now
+    :param pause: seconds until it may request more
     """
 
     count: int
@@ -65,51 +63,53 @@
 
 
 class PermitIssuer:
-    """Issues permits for one upstream at the rate that it names.
+    """Issues permits for one upstream at the rate that it reports.
 
-    In any span it issues what the limit allows in it and in ``BURST_SECONDS``, and one
-    permit more.
+    In any span it issues at most what the limit allows in that span plus
+    ``BURST_SECONDS``, and one permit more.
     """
 
-    __slots__ = ("_asked_at", "_due_at", "_turn_at")
+    __slots__ = ("_next_permit_at", "_next_turn_at", "_requested_at")
 
     def __init__(self) -> None:
-        self._due_at = -math.inf
-        self._turn_at = -math.inf
-        # By instance; there are as many as instances of the fleet at most.
-        self._asked_at: dict[str, float] = {}
+        self._next_permit_at = -math.inf
+        self._next_turn_at = -math.inf
+        # By instance name, so bounded by the size of the fleet.
+        self._requested_at: dict[str, float] = {}
 
-    def issue(self, requester: str, wanted: int, rate: float, now: float) -> Issued:
-        """Return permits for an instance, and when it should ask again.
+    def issue(
+        self, requester: str, wanted: int, rate: float, now: float
+    ) -> IssuedPermits:
+        """Return permits for an instance, and when it may request more.
 
-        :param rate: requests a second that the upstream takes
+        :param rate: rate limit of the upstream, in requests per second
         """
         rate = max(rate, 1.0 / PROBE_INTERVAL_SECONDS)
         interval = 1.0 / rate
-        # What was issued by a lower limit must not hold up a higher one.
-        self._due_at = min(self._due_at, now + BURST_SECONDS + interval)
+        # A permit issued under a lower limit must not delay the next under a higher.
+        self._next_permit_at = min(self._next_permit_at, now + BURST_SECONDS + interval)
         count = 0
-        while count < wanted and self._due_at <= now + BURST_SECONDS:
-            self._due_at = max(self._due_at, now) + interval
+        while count < wanted and self._next_permit_at <= now + BURST_SECONDS:
+            self._next_permit_at = max(self._next_permit_at, now) + interval
             count += 1
         pause = self._plan_turn(requester, interval, now)
         if not count:
-            pause = max(pause, self._due_at - BURST_SECONDS - now)
-        return Issued(count, pause)
+            pause = max(pause, self._next_permit_at - BURST_SECONDS - now)
+        return IssuedPermits(count, pause)
 
     def _plan_turn(self, requester: str, interval: float, now: float) -> float:
-        """Return the seconds until it is an instance's turn to ask again.
+        """Return the seconds until an instance's next turn to request permits.
 
-        One that has a limit for itself asks as it likes. Turns are spread evenly, so
-        that those that were refused together do not come again together.
+        A sole requester needs no turns. Turns are spread evenly, so that instances
+        refused at the same time don't retry at the same time.
         """
-        self._asked_at[requester] = now
-        for one, at in list(self._asked_at.items()):
-            if now - at > ASKER_SECONDS:
-                del self._asked_at[one]
-        if len(self._asked_at) == 1:
+        self._requested_at[requester] = now
+        for instance, requested_at in list(self._requested_at.items()):
+            if now - requested_at > REQUESTER_EXPIRY_SECONDS:
+                del self._requested_at[instance]
+        if len(self._requested_at) == 1:
             return 0.0
-        self._turn_at = max(self._turn_at, now) + interval / TURNS_PER_PERMIT
-        if self._turn_at - now > MAX_PAUSE_SECONDS:
-            self._turn_at = now + interval / TURNS_PER_PERMIT
-        return min(MAX_PAUSE_SECONDS, self._turn_at - now)
+        self._next_turn_at = max(self._next_turn_at, now) + interval / TURNS_PER_PERMIT
+        if self._next_turn_at - now > MAX_PAUSE_SECONDS:
+            self._next_turn_at = now + interval / TURNS_PER_PERMIT
+        return min(MAX_PAUSE_SECONDS, self._next_turn_at - now)
--- a/packages/pondquay/src/pondquay/routing/rendezvous.py
+++ b/packages/pondquay/src/pondquay/routing/rendezvous.py
@@ -1,7 +1,7 @@
 """Rendezvous hashing with a bound on load.
 
-All instances rank the upstreams of a prefix alike without a message, so what one
-instance's request left in an upstream's cache is found by the others' requests.
+All instances rank the upstreams of a prefix alike without messages, so a prompt that
+one instance's request left in an upstream's cache serves the requests of the others.
 """
 
 from __future__ import annotations
@@ -18,18 +18,17 @@
     from pondquay.routing.knownupstreams import KnownUpstream
     from pondquay.routing.prompts import PromptPart
 
-# Requests of one instance at an upstream from which the next one in rank is taken.
+# Running requests of one instance at an upstream from which the next in rank is used.
 MAX_RUNNING_BY_PREFIX = 8
-# Prompt tokens of all instances that wait there, from which the next one is taken.
+# Prompt tokens waiting for prefill at an upstream from which the next in rank is used.
 MAX_PREFILL_TOKENS = 24_000
-# Prompt tokens to be read from which a prompt counts as long. Engines read some
-# thousand between two tokens, and an event holds several tokens: a shorter prompt
-# cannot stretch a pause by much.
+# Uncached tokens from which a prompt counts as long. Engines prefill some thousand
+# between two tokens, so a shorter prompt does not stretch a pause by much.
 LONG_PROMPT_TOKENS = 4_000
 
 
 def score_pair(prefix: str, upstream: str) -> bytes:
-    """Return the weight of an upstream for a prefix."""
+    """Return the rendezvous weight of an upstream for a prefix."""
     return blake2b(f"{prefix}\0{upstream}".encode(), digest_size=8).digest()
 
 
@@ -40,64 +39,75 @@
     *,
     spare_streams: bool = True,
 ) -> KnownUpstream:
-    """Return the first upstream in rank, unless too much waits to be read there.
+    """Return the first upstream in rank, unless too many tokens wait for prefill there.
 
-    Upstreams whose streams suffer from long prompts get none while there are others.
-    If too much waits, it is the one that has least to read before the prompt's end:
-    what waits there and what of the prompt it has not read. So a prompt moves only
-    where that saves reading, and a crowd everywhere does not scatter what is cached.
+    In that case, return the upstream with the fewest tokens to prefill until the prompt
+    is done: the waiting tokens and the uncached tokens of the prompt. So a prompt moves
+    only where that saves prefill, and an overload of all upstreams does not scatter
+    cached prompts.
 
-    :param spare_streams: whether to heed how streams suffer
+    :param spare_streams: whether to avoid upstreams where a long prompt would disturb
+        running streams, as long as there are others
     """
     shared = list_shared(prefix)[-1]
     undisturbed = [
-        one
-        for one in candidates
-        if not (spare_streams and _is_disturbed(one, prefix, now))
+        upstream
+        for upstream in candidates
+        if not (spare_streams and _is_disturbed(upstream, prefix, now))
     ]
     ranked = sorted(
         undisturbed or candidates,
-        key=lambda one: score_pair(shared, one.name),
+        key=lambda upstream: score_pair(shared, upstream.name),
         reverse=True,
     )
-    open_ones = [one for one in ranked if one.running < MAX_RUNNING_BY_PREFIX]
-    if not open_ones:
-        return min(ranked, key=lambda one: one.running)
-    if open_ones[0].prompts.waiting < MAX_PREFILL_TOKENS:
-        return open_ones[0]
-    return min(open_ones, key=lambda one: one.prompts.count_until_read(prefix))
+    available = [
+        upstream for upstream in ranked if upstream.running < MAX_RUNNING_BY_PREFIX
+    ]
+    if not available:
+        return min(ranked, key=lambda upstream: upstream.running)
+    if available[0].prompts.waiting < MAX_PREFILL_TOKENS:
+        return available[0]
+    return min(
+        available,
+        key=lambda upstream: upstream.prompts.count_until_prefilled(prefix),
+    )
 
 
 def _is_disturbed(
     upstream: KnownUpstream, prefix: tuple[PromptPart, ...], now: float
 ) -> bool:
-    """Tell whether reading a prompt there would break the streams that run there."""
+    """Return whether prefilling a prompt there would disturb running streams."""
     if not upstream.pauses.breaks_streams(now):
         return False
     return upstream.prompts.count_uncached(prefix) >= LONG_PROMPT_TOKENS
 
 
 def choose_nearest(
-    candidates: Sequence[KnownUpstream], domain: str, crowded: int
+    candidates: Sequence[KnownUpstream], domain: str, max_running: int
 ) -> KnownUpstream:
-    """Return the least used upstream, one of the own domain while not crowded.
+    """Return the least used upstream, preferably in the own domain.
 
-    Those that are used alike take turns. Otherwise one would get all requests where
-    there are few, and one that has begun anew none.
+    Equally used upstreams take turns. Otherwise one of them would get all requests at
+    low load.
 
-    :param crowded: requests of this instance from which the own domain is left
+    :param max_running: running requests of this instance from which other domains are
+        considered
     """
-    near = [one for one in candidates if one.record.domain == domain]
+    near = [upstream for upstream in candidates if upstream.record.domain == domain]
     best = min(near, key=_rank_by_use, default=None)
-    if best is not None and best.running < crowded:
+    if best is not None and best.running < max_running:
         return best
     return min(
         candidates,
-        key=lambda one: (one.running, one.record.domain != domain, _rank_by_use(one)),
+        key=lambda upstream: (
+            upstream.running,
+            upstream.record.domain != domain,
+            _rank_by_use(upstream),
+        ),
     )
 
 
 def _rank_by_use(upstream: KnownUpstream) -> tuple[int, float]:
-    """Return what runs there, and when a request was last placed there."""
+    """Return its running requests, and when a request was last placed there."""
     last_sent_at = -math.inf if upstream.last_sent_at is None else upstream.last_sent_at
     return upstream.running, last_sent_at
--- a/packages/pondquay/src/pondquay/routing/retries.py
+++ b/packages/pondquay/src/pondquay/routing/retries.py
@@ -1,4 +1,4 @@
-"""Retry budgets: retries in proportion to first attempts, so no storm can grow."""
+"""Retry budgets, which bound retries to a ratio of first attempts."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True)
 class RetryBudget:
-    """Earns a part of a retry with each first attempt, and spends one with each retry.
+    """Earns a fraction of a retry with each first attempt and spends one per retry.
 
     :param ratio: retries earned by one first attempt
     :param saved: retries that may be made now
@@ -20,11 +20,11 @@
     saved: float = MAX_SAVED
 
     def earn(self) -> None:
-        """Note a first attempt."""
+        """Count a first attempt."""
         self.saved = min(MAX_SAVED, self.saved + self.ratio)
 
     def spend(self) -> bool:
-        """Take one retry, if there is one."""
+        """Use one retry; return ``False`` if there is none."""
         if self.saved < 1.0:
             return False
         self.saved -= 1.0
--- a/packages/pondquay/src/pondquay/routing/rotation.py
+++ b/packages/pondquay/src/pondquay/routing/rotation.py
@@ -1,4 +1,4 @@
-"""The naive policy that others are compared with: each upstream in its turn."""
+"""Round robin: the baseline with which other policies are compared."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 
 @ROUTING_POLICIES.register("round-robin")
 class RoundRobin(RoutingPolicy):
-    """Takes the upstreams in turn, whatever their load."""
+    """Cycles through the upstreams regardless of their load."""
 
     def __init__(self) -> None:
         self._turn = 0
 
     def choose(
-        self, candidates: Sequence[Upstream], work: RequestProfile, random: Random
+        self, candidates: Sequence[Upstream], request: RequestProfile, random: Random
     ) -> Upstream:
         """Return the next upstream by name."""
         self._turn += 1
-        ordered = sorted(candidates, key=lambda one: one.name)
+        ordered = sorted(candidates, key=lambda upstream: upstream.name)
         return ordered[self._turn % len(ordered)]
--- a/packages/pondquay/src/pondquay/routing/upstreamrecords.py
+++ b/packages/pondquay/src/pondquay/routing/upstreamrecords.py
@@ -1,4 +1,4 @@
-"""What is said of upstreams: their rows in the list, and the news that one leaves."""
+"""Reports about upstreams: their rows in the list, and their departures."""
 
 from __future__ import annotations
 
@@ -10,24 +10,25 @@
 
 
 def name_incarnation(name: str, born: int | None) -> str:
-    """Return what one life of an upstream is known by.
+    """Return the name of one incarnation of an upstream.
 
-    An upstream may start again under its name. Nothing that was learnt of the life
-    before says anything of the new one, so all that is known goes by lives.
+    An upstream may restart under its name. Observations of an earlier incarnation do
+    not apply to a later one, so they are kept by incarnation.
     """
     return name if born is None else f"{name}@{born}"
 
 
 @dataclass(frozen=True, slots=True)
 class UpstreamRecord:
-    """What an upstream says of itself in the list.
+    """An upstream's row in the list.
 
-    :param name: of its row
+    :param name: name of the row
     :param slots: requests that it runs at the same time
-    :param leaving: whether it will end soon
-    :param cold: seconds for which it still is cold: it bears few requests
-    :param born: when this life began by the clock of its host, ``None`` if it does not
-        say. It only tells lives apart: that clock may jump back between two of them
+    :param leaving: whether it is about to stop
+    :param cold: seconds for which it stays cold and handles only few requests
+    :param born: start time of this incarnation by the clock of its host, ``None`` if
+        unknown. It only distinguishes incarnations and does not order them, since that
+        clock may jump back
     """
 
     name: str
@@ -41,18 +42,18 @@
 
     @property
     def incarnation(self) -> str:
-        """The name of this life."""
+        """The name of this incarnation."""
         return name_incarnation(self.name, self.born)
 
 
 @dataclass(frozen=True, slots=True)
 class Departure:
-    """News that an upstream leaves or has left.
+    """The departure of one incarnation of an upstream.
 
-    :param name: of its row
-    :param version: at which its row was gone, ``None`` if it said so itself; then no
-        newer row takes it back
-    :param born: tells the life that it is about
+    :param name: name of its row
+    :param version: version at which its row was missing, so that a newer row revokes
+        the departure; ``None`` if it announced the departure itself, which is final
+    :param born: start time of the incarnation, as in its row
     """
 
     name: str
@@ -61,5 +62,5 @@
 
     @property
     def incarnation(self) -> str:
-        """The name of the life that it is about."""
+        """The name of the incarnation that leaves."""
         return name_incarnation(self.name, self.born)
--- a/packages/pondquay/src/pondquay/routing/upstreams.py
+++ b/packages/pondquay/src/pondquay/routing/upstreams.py
@@ -1,4 +1,4 @@
-"""What an instance knows of an upstream: lagging reports and its own requests."""
+"""The state of an upstream as an instance knows it: load reports and own requests."""
 
 from __future__ import annotations
 
@@ -9,13 +9,14 @@
 
 ENGINE = "engine"
 SERVICE = "service"
+# Weight of the latest sample in the moving average of the pace.
 PACE_WEIGHT = 0.1
-# Requests at an upstream at the same time, over its places.
-PLACES_BY_RANK = (2.0, 0.9, 0.75)
+# Maximum requests at an upstream for each rank, relative to its slots.
+SLOT_RATIO_BY_RANK = (2.0, 0.9, 0.75)
 
 
 class UpstreamState(StrEnum):
-    """Whether an upstream may be given new work."""
+    """Whether an upstream may get new requests."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -23,11 +24,13 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """What an upstream said of itself.
+    """The load that an upstream reported.
 
-    :param tokens: output tokens that it had still to produce
-    :param streams: requests that it ran or kept waiting
-    :param received: when the report came, in seconds
+    :param tokens: output tokens yet to be generated
+    :param received: when the report was received, in seconds
+    :param streams: running and queued requests
+    :param models: name and version of each loaded model
+    :param boot: identifies the upstream's incarnation
     """
 
     tokens: int
@@ -40,14 +43,14 @@
 
 @dataclass(slots=True)
 class Upstream:
-    """One upstream as this instance sees it.
-
-    :param serves: for engines the model's name, for services the service's
-    :param outstanding: reserved tokens of this instance's own requests there
-    :param since_report: tokens that this instance sent since the last report
-    :param sent: requests that this instance sent since the last report
-    :param pace: seconds between two tokens of a stream there, as lately observed
-    :param backoff_until: until when it wants no request of this instance, in seconds
+    """One upstream as this instance knows it.
+
+    :param outstanding: reserved tokens of this instance's requests there
+    :param running: requests of this instance that run there
+    :param tokens_since_report: tokens that this instance sent since the last report
+    :param sent_since_report: requests that this instance sent since the last report
+    :param pace: seconds per token of a stream there, as a moving average; 0 if unknown
+    :param backoff_until: time until which this instance sends it no request, in seconds
     """
 
     name: str
@@ -59,8 +62,8 @@
     report: LoadReport | None = None
     outstanding: int = 0
     running: int = 0
-    since_report: int = 0
-    sent: int = 0
+    tokens_since_report: int = 0
+    sent_since_report: int = 0
     pace: float = 0.0
     backoff_until: float = 0.0
     circuit: Circuit = field(default_factory=Circuit)
@@ -69,27 +72,27 @@
     def apply_report(self, report: LoadReport) -> None:
         """Replace the last report by a newer one.
 
-        A life that begins anew has asked for nothing.
+        A new incarnation has not asked this instance to back off.
         """
         if self.report is not None and report.boot != self.boot:
             self.backoff_until = 0.0
         self.report = report
-        self.since_report = 0
-        self.sent = 0
+        self.tokens_since_report = 0
+        self.sent_since_report = 0
 
     @property
     def load(self) -> int:
-        """Tokens that are probably ahead of a new request.
+        """Estimated tokens ahead of a new request.
 
-        The last report counts what all instances had sent; added to it is what this
-        instance sent since, and at least its own requests in flight.
+        The last report covers the requests of all instances. Added are the tokens that
+        this instance sent since; its own outstanding tokens are a lower bound.
         """
         reported = 0 if self.report is None else self.report.tokens
-        return max(reported + self.since_report, self.outstanding)
+        return max(reported + self.tokens_since_report, self.outstanding)
 
     @property
     def boot(self) -> str:
-        """The upstream's present life, as it last said."""
+        """The upstream's current incarnation as last reported, empty if unknown."""
         return "" if self.report is None else self.report.boot
 
     @property
@@ -98,39 +101,39 @@
         return 1 if self.report is None else max(1, self.report.slots)
 
     def has_capacity(self, rank: int) -> bool:
-        """Tell whether a request of some priority may be sent there now.
+        """Return whether a request of some priority may be sent there now.
 
-        Running streams are not interrupted, so a part of the places is kept free for
-        more urgent requests; the most urgent may even wait at the upstream.
+        Running streams are not interrupted, so a fraction of the slots is kept free for
+        more urgent requests; the most urgent may even queue at the upstream.
 
-        :param rank: priority, 0 is the most urgent
+        :param rank: index of the priority; 0 is the most urgent
         """
         reported = 0 if self.report is None else self.report.streams
-        busy = max(reported + self.sent, self.running)
-        return busy < PLACES_BY_RANK[rank] * self.slots
+        busy = max(reported + self.sent_since_report, self.running)
+        return busy < SLOT_RATIO_BY_RANK[rank] * self.slots
 
     def note_backoff(self, seconds: float, now: float) -> None:
-        """Learn that it wants no request of this instance for some more seconds."""
+        """Record that it accepts no request of this instance for some more seconds."""
         self.backoff_until = max(self.backoff_until, now + seconds)
 
     def observe_pace(self, seconds: float) -> None:
-        """Take in how long a token of a stream took."""
+        """Record the time that a stream took per token."""
         if self.pace == 0.0:
             self.pace = seconds
         self.pace += PACE_WEIGHT * (seconds - self.pace)
 
     def begin(self, tokens: int) -> None:
-        """Note that a request of this instance starts there."""
+        """Count a request of this instance that starts there."""
         self.outstanding += tokens
-        self.since_report += tokens
-        self.sent += 1
+        self.tokens_since_report += tokens
+        self.sent_since_report += 1
         self.running += 1
 
     def end(self, tokens: int) -> None:
-        """Note that a request of this instance ended there."""
+        """Count a request of this instance that ended there."""
         self.outstanding -= tokens
         self.running -= 1
 
     def serves(self, model: str, version: str) -> bool:
-        """Tell whether the upstream has this version of a model loaded."""
+        """Return whether the upstream has this version of a model loaded."""
         return self.report is not None and (model, version) in self.report.models
