--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/accounts.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/accounts.py
@@ -32,12 +32,12 @@
 
 ADJUST_SECONDS = 0.5
 # On its first start a fleet learns who belongs to it, before anyone holds anything.
-SETTLE_SECONDS = 1.5
+STARTUP_SECONDS = 1.5
 # Waits for tokens to come from the table, in turn, before a request is refused.
 OBTAIN_WAITS = (0.02, 0.04, 0.08)
 # Seconds after which a caller that was refused should come back while the table is out
 # of reach: an outage lasts.
-AFTER_OUTAGE = 2.0
+OUTAGE_RETRY_SECONDS = 2.0
 RETURN_UNSPENT_ATTEMPTS = 4
 # As often as the others of ten lenders may come first, where all write a row at once.
 WRITE_ATTEMPTS = 10
@@ -83,11 +83,11 @@
 
     def start(self) -> None:
         """Begin to adjust the allotments."""
-        self._settled_at = self.clock.seconds() + SETTLE_SECONDS
+        self._settled_at = self.clock.seconds() + STARTUP_SECONDS
         self._loans.settle_until(self._settled_at)
         self.repeat(ADJUST_SECONDS, self._adjust_all)
 
-    def take_table(self, table: RouteTable) -> None:
+    def apply_table(self, table: RouteTable) -> None:
         """Take in what each workspace has prepaid."""
         for workspace in table.configuration.workspaces:
             if workspace.prepaid is None:
@@ -102,11 +102,11 @@
             account.prepaid = workspace.prepaid
             self._adjust_soon(workspace.name)
 
-    def take_snapshot(self, snapshot: Snapshot) -> None:
+    def apply_snapshot(self, snapshot: Snapshot) -> None:
         """Learn that changes may have been missed; rows are read when needed."""
         self._unread = set(self._accounts)
 
-    def take_change(self, change: RowChange) -> None:
+    def apply_change(self, change: RowChange) -> None:
         """Take in one row of the table."""
         if change.value is not None:
             self._take_row(change.key, change.value, change.version)
@@ -120,18 +120,18 @@
         return {name: one.describe() for name, one in self._accounts.items()}
 
     async def obtain(
-        self, request: str, workspace: str, tokens: int, patience: float
+        self, request: str, workspace: str, tokens: int, max_wait_seconds: float
     ) -> Refused | None:
         """Reserve tokens, asking the table for more if need be.
 
         :param request: who asks, for the logs
-        :param patience: the most seconds that this may take
+        :param max_wait_seconds: the most seconds that this may take
         :returns: why not, ``None`` if they are reserved
         """
         account = self._accounts[workspace]
         account.demand.note(tokens, self.clock.seconds())
         refused = account.reserve(tokens)
-        until = self.clock.seconds() + patience
+        until = self.clock.seconds() + max_wait_seconds
         for wait in OBTAIN_WAITS if self._loans.lends(workspace) else ():
             if refused in (None, Refused.EXHAUSTED) or not self._reachable():
                 break
@@ -150,7 +150,7 @@
         self._adjust_soon(workspace)
         return refused
 
-    def come_back_after(self, refused: Refused) -> float:
+    def retry_after_seconds(self, refused: Refused) -> float:
         """Return the seconds after which a refused caller should ask again.
 
         An instance that knows nothing yet of a budget has just started, perhaps with
@@ -158,7 +158,7 @@
         """
         soon = self._policy.come_back_seconds
         if refused is Refused.OUT_OF_REACH:
-            return AFTER_OUTAGE
+            return OUTAGE_RETRY_SECONDS
         if refused is Refused.UNKNOWN:
             return max(soon, self._settled_at - self.clock.seconds())
         return soon
@@ -190,20 +190,20 @@
             store="up" if self._reachable() else "away",
         )
 
-    def lend(self, workspace: str, tokens: int, ahead: int) -> int:
+    def lend(self, workspace: str, tokens: int, headroom: int) -> int:
         """Hand tokens to a peer that has none; return how many.
 
-        :param ahead: tokens that are wanted besides, 0 from those with an allotment
+        :param headroom: tokens that are wanted besides, 0 from those with an allotment
         """
         account = self._accounts.get(workspace)
         if account is None or self._closed:
             return 0
         if account.unspent < tokens:
             request_tokens(account, tokens)
-            if ahead:
+            if headroom:
                 self._refill_soon(workspace, account, tokens)
-        lent = account.lend_headroom(tokens, ahead)
-        if ahead:
+        lent = account.lend_headroom(tokens, headroom)
+        if headroom:
             # The borrower's demand is met from here and shows nowhere else.
             account.demand.note_lent(max(tokens, lent), self.clock.seconds())
         if lent:
@@ -242,9 +242,9 @@
         finally:
             self._refilling.discard(workspace)
 
-    def partners(self) -> frozenset[str]:
+    def co_lenders(self) -> frozenset[str]:
         """Return the instances that lend for the same workspaces as this one."""
-        return self._loans.partners(self._accounts)
+        return self._loans.co_lenders(self._accounts)
 
     def receive_loan(
         self, workspace: str, tokens: int, *, returned: bool = False
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/contacts.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/contacts.py
@@ -71,7 +71,7 @@
                 seconds=signals.backoff,
             )
         if signals.tells_limit:
-            self._components.permits.note_named(
+            self._components.permits.note_response_limit(
                 self._upstream, signals.limit, self._placed_at, self._reached_by(now)
             )
         else:
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/permits.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/permits.py
@@ -29,7 +29,7 @@
 
 # For which a request waits for a permit before it goes elsewhere, in seconds: some ways
 # between failure domains.
-WAIT_SECONDS = 0.05
+PERMIT_WAIT_SECONDS = 0.05
 # After which an instance asks again that had nobody to ask, in seconds.
 NO_ISSUER_RETRY_SECONDS = 0.25
 # Instances that pass a request on: the one that speaks for a domain.
@@ -101,7 +101,7 @@
         refill = self._refills.get(upstream.name)
         if refill is None:
             refill = self._refills[upstream.name] = Refill(
-                Deferred(), now + WAIT_SECONDS
+                Deferred(), now + PERMIT_WAIT_SECONDS
             )
             spawn(self._refill(upstream, refill), "PermitDesk")
         seconds = min(refill.overdue_at, until) - now
@@ -109,7 +109,7 @@
             await wait_at_most(refill.done, seconds, self._clock, None)
         return not upstream.is_limited() or stock.take(self._clock.seconds())
 
-    def plan_return(self, upstreams: Iterable[KnownUpstream]) -> float | None:
+    def plan_retry(self, upstreams: Iterable[KnownUpstream]) -> float | None:
         """Return when a caller that is refused should come again, in seconds.
 
         :returns: ``None`` if none of them is limited
@@ -118,13 +118,13 @@
         if not stocks:
             return None
         first = min(stocks, key=lambda one: one.next_request_at)
-        return first.plan_return(self._clock.seconds())
+        return first.plan_retry(self._clock.seconds())
 
     def list_limited(self) -> list[KnownUpstream]:
         """Return the upstreams that name a limit."""
         return self._directory.list_limited()
 
-    def note_named(
+    def note_response_limit(
         self,
         upstream: KnownUpstream,
         rate: float | None,
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/placement.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/placement.py
@@ -103,7 +103,7 @@
             for one in candidates
             if one.name not in tried and not one.in_backoff(now)
         ]
-        retry_after = self._permits.plan_return(left)
+        retry_after = self._permits.plan_retry(left)
         if retry_after is not None:
             return NoUpstream("no upstream below its limit", retry_after)
         if left:
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/requests.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/requests.py
@@ -202,7 +202,7 @@
 
     async def _choose(self, sends: int) -> KnownUpstream | Refusal:
         """Return the upstream to try next, or why the request is not sent."""
-        refusal = self._permit.check_again(sends)
+        refusal = self._permit.recheck(sends)
         if refusal is not None:
             return self._give_up(refusal.reason, refusal.retry_after)
         upstream = await self._sender.place()
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/reservations.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/reservations.py
@@ -57,7 +57,7 @@
             return None
         if refused is Refused.EXHAUSTED:
             return Refusal(PAYMENT_REQUIRED, "budget exhausted", None)
-        wait = self._accounts.come_back_after(refused)
+        wait = self._accounts.retry_after_seconds(refused)
         return Refusal(TOO_MANY_REQUESTS, f"budget {refused}", wait)
 
     def settle(self, used: int) -> None:
--- a/packages/pondquay/src/pondquay/routing/permitstock.py
+++ b/packages/pondquay/src/pondquay/routing/permitstock.py
@@ -74,7 +74,7 @@
         self.next_request_at = now + max(pause, MIN_PAUSE_SECONDS)
         self._refused = 0
 
-    def plan_return(self, now: float) -> float:
+    def plan_retry(self, now: float) -> float:
         """Return the seconds after which a caller that is refused should come again.
 
         An instance gets a permit about once in its pause, so callers are told to come
