--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/peernews.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/peerdispatcher.py
@@ -13,7 +13,7 @@
     from pondquay.routing.evacuations import Evacuation
     from pondquay.routing.upstreamrecords import Departure
     from pondquay_daemon.relay.accounts import AccountBook
-    from pondquay_daemon.relay.crashwatch import CrashMonitor
+    from pondquay_daemon.relay.crashmonitor import CrashMonitor
     from pondquay_daemon.relay.evacuationview import EvacuationView
     from pondquay_daemon.relay.feeds import TableFeed
     from pondquay_daemon.relay.knowledge import ConfigurationView
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/peers.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/peers.py
@@ -16,7 +16,7 @@
     MAX_FAR_LINKS,
     LinkPlan,
 )
-from pondquay_daemon.relay.loadnews import LoadAnnouncer
+from pondquay_daemon.relay.loadannouncer import LoadAnnouncer
 from pondquay_daemon.relay.loandemands import LoanDemands
 from pondquay_daemon.relay.loans import Lender
 from pondquay_daemon.relay.member import Member
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/relay.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/relay.py
@@ -24,8 +24,8 @@
 )
 from pondquay_daemon.relay.allotmentrows import TABLE as ALLOTMENTS
 from pondquay_daemon.relay.components import RelayComponents
+from pondquay_daemon.relay.crashmonitor import CrashMonitor
 from pondquay_daemon.relay.crashrows import CrashRows
-from pondquay_daemon.relay.crashwatch import CrashMonitor
 from pondquay_daemon.relay.egress import EgressPool
 from pondquay_daemon.relay.evacuationview import EvacuationView
 from pondquay_daemon.relay.feeds import JointListener, TableFeed
@@ -34,7 +34,7 @@
 from pondquay_daemon.relay.member import Member
 from pondquay_daemon.relay.members import TABLE as MEMBERS
 from pondquay_daemon.relay.members import MemberList
-from pondquay_daemon.relay.peernews import FROM_STORE, PeerDispatcher
+from pondquay_daemon.relay.peerdispatcher import FROM_STORE, PeerDispatcher
 from pondquay_daemon.relay.peers import PeerMesh
 from pondquay_daemon.relay.permitlinks import PermitLinks
 from pondquay_daemon.relay.permits import PermitBroker
@@ -42,7 +42,7 @@
 from pondquay_daemon.relay.readiness import ReadinessHandler
 from pondquay_daemon.relay.reports import ReportHandler
 from pondquay_daemon.relay.requests import RequestRun
-from pondquay_daemon.relay.wakewatch import StallMonitor
+from pondquay_daemon.relay.stallmonitor import StallMonitor
 from pondquay_daemon.tasks import sleep, spawn
 
 if TYPE_CHECKING:
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/requests.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/requests.py
@@ -24,7 +24,7 @@
     StreamProgress,
     Unsent,
 )
-from pondquay_daemon.relay.crashwatch import ContentPermit
+from pondquay_daemon.relay.crashmonitor import ContentPermit
 from pondquay_daemon.relay.heads import drop_connection_headers
 from pondquay_daemon.relay.reservations import Reservation
 from pondquay_daemon.relay.retrying import RetryPermit
--- a/packages/pondquay-daemon/tests/relay/test_crashwatch.py
+++ b/packages/pondquay-daemon/tests/relay/test_crashmonitor.py
@@ -16,7 +16,7 @@
 from pondquay.routing.knownupstreams import KnownUpstream
 from pondquay.routing.upstreamrecords import UpstreamRecord
 from pondquay_daemon.relay.connectioncheck import STAY_SECONDS
-from pondquay_daemon.relay.crashwatch import CHECK_SECONDS, ROW_SECONDS, CrashMonitor
+from pondquay_daemon.relay.crashmonitor import CHECK_SECONDS, ROW_SECONDS, CrashMonitor
 from pondquay_daemon.relay.metrics import RelayMetrics
 
 from .conftest import UpstreamEnd
--- a/packages/pondquay-daemon/tests/relay/test_peers.py
+++ b/packages/pondquay-daemon/tests/relay/test_peers.py
@@ -23,7 +23,7 @@
     MAX_NEAR_LINKS,
     OTHER_END_SECONDS,
 )
-from pondquay_daemon.relay.loadnews import LOADS_SECONDS
+from pondquay_daemon.relay.loadannouncer import LOADS_SECONDS
 from pondquay_daemon.relay.loandemands import LOAN_SECONDS
 from pondquay_daemon.relay.member import Member
 from pondquay_daemon.relay.peerlinks import PeerLink
