--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/accounts.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/accounts.py
@@ -1,4 +1,4 @@
-"""The accounts of all workspaces at one instance, kept in step with the store."""
+"""Token accounts of all workspaces at one instance, synchronized with the store."""
 
 from __future__ import annotations
 
@@ -30,28 +30,28 @@
     from pondquay_daemon.relay.metrics import RelayMetrics
     from pondquay_daemon.relay.store import RowChange, Snapshot, Store
 
-ADJUST_SECONDS = 0.5
-# On its first start a fleet learns who belongs to it, before anyone holds anything.
+ADJUST_INTERVAL_SECONDS = 0.5
+# On a fleet's first start, instances discover each other for this long before they
+# claim allotments.
 STARTUP_SECONDS = 1.5
-# Waits for tokens to come from the table, in turn, before a request is refused.
-OBTAIN_WAITS = (0.02, 0.04, 0.08)
-# Seconds after which a caller that was refused should come back while the table is out
-# of reach: an outage lasts.
+# Successive waits for tokens from the table before a request is refused, in seconds.
+TABLE_RETRY_WAITS = (0.02, 0.04, 0.08)
+# Delay before a caller retries that is refused while the table is unreachable.
 OUTAGE_RETRY_SECONDS = 2.0
 RETURN_UNSPENT_ATTEMPTS = 4
-# As often as the others of ten lenders may come first, where all write a row at once.
+# Up to ten lenders may write a row at the same time, and one write succeeds per round.
 WRITE_ATTEMPTS = 10
 
 
 class AccountBook(Task, TableListener):
-    """All accounts of this life of an instance.
+    """Holds the accounts of this incarnation of an instance.
 
-    For each workspace one write is under way at most, so what a lost answer can have
-    done is known to the account.
+    At most one write per workspace is in flight, so an account knows what a write may
+    have changed whose response was lost.
 
-    :param reachable: tells whether the table answered lately
-    :param lender: asks other instances for tokens
-    :param knows_fleet: tells whether the list of instances was read
+    :param reachable: returns whether the last call to the table succeeded
+    :param lender: borrows tokens from other instances
+    :param knows_fleet: returns whether the list of instances has been read
     """
 
     def __init__(
@@ -79,16 +79,16 @@
         self._unread: set[str] = set()
         self._refilling: set[str] = set()
         self._closed = False
-        self._settled_at = 0.0
+        self._startup_ends_at = 0.0
 
     def start(self) -> None:
-        """Begin to adjust the allotments."""
-        self._settled_at = self.clock.seconds() + STARTUP_SECONDS
-        self._loans.settle_until(self._settled_at)
-        self.repeat(ADJUST_SECONDS, self._adjust_all)
+        """Start adjusting the allotments periodically."""
+        self._startup_ends_at = self.clock.seconds() + STARTUP_SECONDS
+        self._loans.set_startup_end(self._startup_ends_at)
+        self.repeat(ADJUST_INTERVAL_SECONDS, self._adjust_all)
 
     def apply_table(self, table: RouteTable) -> None:
-        """Take in what each workspace has prepaid."""
+        """Update the prepaid tokens of each workspace from a new route table."""
         for workspace in table.configuration.workspaces:
             if workspace.prepaid is None:
                 continue
@@ -100,45 +100,45 @@
                 self._accounts[workspace.name] = account
                 self._unread.add(workspace.name)
             account.prepaid = workspace.prepaid
-            self._adjust_soon(workspace.name)
+            self._schedule_adjustment(workspace.name)
 
     def apply_snapshot(self, snapshot: Snapshot) -> None:
-        """Learn that changes may have been missed; rows are read when needed."""
+        """Mark all rows as unread, since changes may have been missed."""
         self._unread = set(self._accounts)
 
     def apply_change(self, change: RowChange) -> None:
-        """Take in one row of the table."""
+        """Apply a change of one row."""
         if change.value is not None:
-            self._take_row(change.key, change.value, change.version)
+            self._apply_row(change.key, change.value, change.version)
 
     def unspent(self) -> int:
-        """Return the tokens that may be reserved now, of all workspaces."""
-        return sum(max(0, one.unspent) for one in self._accounts.values())
+        """Return the tokens of all workspaces that can be reserved now."""
+        return sum(max(0, account.unspent) for account in self._accounts.values())
 
     def describe(self) -> dict[str, dict[str, int]]:
-        """Return the accounts by workspace, for operators."""
-        return {name: one.describe() for name, one in self._accounts.items()}
+        """Return the state of each workspace's account, for operators."""
+        return {name: account.describe() for name, account in self._accounts.items()}
 
     async def obtain(
         self, request: str, workspace: str, tokens: int, max_wait_seconds: float
     ) -> Refused | None:
-        """Reserve tokens, asking the table for more if need be.
+        """Reserve tokens; request more from the table or borrow them if necessary.
 
-        :param request: who asks, for the logs
-        :param max_wait_seconds: the most seconds that this may take
-        :returns: why not, ``None`` if they are reserved
+        :param request: name of the request, for the logs
+        :param max_wait_seconds: limit of the time spent waiting for the table
+        :returns: the reason if they cannot be reserved, ``None`` otherwise
         """
         account = self._accounts[workspace]
         account.demand.note(tokens, self.clock.seconds())
         refused = account.reserve(tokens)
         until = self.clock.seconds() + max_wait_seconds
-        for wait in OBTAIN_WAITS if self._loans.lends(workspace) else ():
+        for wait in TABLE_RETRY_WAITS if self._loans.lends(workspace) else ():
             if refused in (None, Refused.EXHAUSTED) or not self._reachable():
                 break
             if self.clock.seconds() + wait > until:
                 break
             request_tokens(account, tokens)
-            self._adjust_soon(workspace)
+            self._schedule_adjustment(workspace)
             await sleep(wait, self.clock)
             refused = account.reserve(tokens)
         account.wanted = 0
@@ -146,24 +146,24 @@
             refused = await self._loans.borrow(account, workspace, tokens)
         if refused is Refused.ELSEWHERE and not self._reachable():
             refused = Refused.OUT_OF_REACH
-        self._log_obtained(request, workspace, account, tokens, refused)
-        self._adjust_soon(workspace)
+        self._log_reservation(request, workspace, account, tokens, refused)
+        self._schedule_adjustment(workspace)
         return refused
 
     def retry_after_seconds(self, refused: Refused) -> float:
-        """Return the seconds after which a refused caller should ask again.
+        """Return the seconds after which a refused caller should retry.
 
-        An instance that knows nothing yet of a budget has just started, perhaps with
-        all others: until links stand, nobody lends.
+        An instance that has not read a budget's row yet has just started, possibly
+        together with all others, and can only borrow once links are open.
         """
-        soon = self._policy.come_back_seconds
+        default_delay = self._policy.come_back_seconds
         if refused is Refused.OUT_OF_REACH:
             return OUTAGE_RETRY_SECONDS
         if refused is Refused.UNKNOWN:
-            return max(soon, self._settled_at - self.clock.seconds())
-        return soon
+            return max(default_delay, self._startup_ends_at - self.clock.seconds())
+        return default_delay
 
-    def _log_obtained(
+    def _log_reservation(
         self,
         request: str,
         workspace: str,
@@ -171,7 +171,7 @@
         tokens: int,
         refused: Refused | None,
     ) -> None:
-        """Tell what decided whether a request got its tokens."""
+        """Log the result of a reservation and the account's state."""
         if refused is not None:
             self._metrics.note_refused(refused)
         log_event(
@@ -191,9 +191,11 @@
         )
 
     def lend(self, workspace: str, tokens: int, headroom: int) -> int:
-        """Hand tokens to a peer that has none; return how many.
+        """Lend tokens to a peer; return how many.
 
-        :param headroom: tokens that are wanted besides, 0 from those with an allotment
+        :param tokens: tokens that the peer needs now
+        :param headroom: tokens that the peer requests beyond that; 0 if it holds an
+            allotment
         """
         account = self._accounts.get(workspace)
         if account is None or self._closed:
@@ -201,33 +203,33 @@
         if account.unspent < tokens:
             request_tokens(account, tokens)
             if headroom:
-                self._refill_soon(workspace, account, tokens)
+                self._start_refill(workspace, account, tokens)
         lent = account.lend_headroom(tokens, headroom)
         if headroom:
-            # The borrower's demand is met from here and shows nowhere else.
+            # The row shows no demand of borrowers, so it counts as this instance's.
             account.demand.note_lent(max(tokens, lent), self.clock.seconds())
         if lent:
             self._metrics.loans.labels("lent").inc(lent)
             log_event("tokens-lent", workspace=workspace, tokens=lent)
-        self._adjust_soon(workspace)
+        self._schedule_adjustment(workspace)
         return lent
 
-    def _refill_soon(self, workspace: str, account: Account, tokens: int) -> None:
-        """Borrow for a borrower, unless the table can give what it needs.
+    def _start_refill(self, workspace: str, account: Account, tokens: int) -> None:
+        """Borrow on behalf of a borrower, unless the table has the tokens.
 
-        Other lenders that ask are told what is here: if each asked on for the other,
-        tokens would go round.
+        Requests of other lenders are not passed on like this: otherwise lenders would
+        borrow from each other in a cycle.
         """
         if not self._loans.lends(workspace):
             return
         if self._reachable() and tokens <= account.max_headroom():
             return
-        self._borrow_soon(workspace, self._loans.refill(account, workspace, tokens))
+        self._start_borrowing(workspace, self._loans.refill(account, workspace, tokens))
 
-    def _borrow_soon(
+    def _start_borrowing(
         self, workspace: str, borrowing: Coroutine[Any, Any, None]
     ) -> None:
-        """Borrow beside the requests, once at a time for each workspace."""
+        """Borrow in the background, at most once at a time per workspace."""
         if workspace in self._refilling:
             borrowing.close()
             return
@@ -243,15 +245,15 @@
             self._refilling.discard(workspace)
 
     def co_lenders(self) -> frozenset[str]:
-        """Return the instances that lend for the same workspaces as this one."""
+        """Return the instances that lend for the same workspaces as this instance."""
         return self._loans.co_lenders(self._accounts)
 
     def receive_loan(
         self, workspace: str, tokens: int, *, returned: bool = False
     ) -> None:
-        """Take tokens that a peer has handed over.
+        """Credit tokens that a peer has transferred.
 
-        :param returned: whether it had borrowed and did not need them
+        :param returned: whether the peer returns tokens that it had borrowed
         """
         account = self._accounts.get(workspace)
         if account is not None:
@@ -262,13 +264,13 @@
             log_event("tokens-borrowed", workspace=workspace, tokens=tokens)
 
     def settle(self, workspace: str, reserved: int, used: int) -> None:
-        """Replace a reservation by what was used of it."""
+        """Replace a reservation by the tokens that were used."""
         self._accounts[workspace].settle(reserved, used)
 
     async def return_unspent(self) -> None:
-        """Close this life's allotments: what was not spent returns to the budgets.
+        """Close the allotments, which returns unspent tokens to the budgets.
 
-        Where the store certainly did not take the close, a peer gets the tokens.
+        If the store certainly did not close one, its tokens are transferred to a peer.
         """
         self._closed = True
         steps = [
@@ -284,14 +286,14 @@
             if closed is not None:
                 break
         if closed is False:
-            self._loans.give_away(name, account)
+            self._loans.transfer_all(name, account)
 
     async def _close(self, name: str, account: Account) -> bool | None:
         if account.version is None or account.reserved or name in self._writing:
             return False
         return await self._rows.close(name, account)
 
-    def _take_row(self, key: str, value: JsonObject, version: int) -> None:
+    def _apply_row(self, key: str, value: JsonObject, version: int) -> None:
         account = self._accounts.get(key)
         if account is None:
             return
@@ -305,9 +307,9 @@
             log_event("allotment-malformed", Level.ERROR, workspace=key, error=error)
             return
         account.read(row, version)
-        self._adjust_soon(key)
+        self._schedule_adjustment(key)
 
-    def _adjust_soon(self, name: str) -> None:
+    def _schedule_adjustment(self, name: str) -> None:
         if name in self._writing or self._closed:
             return
         account = self._accounts[name]
@@ -317,8 +319,8 @@
         if not self._reachable():
             return
         if name in self._unread:
-            # A borrower reads a row once it has a request for it: what it may keep
-            # ahead follows from what is left and who else asks for it.
+            # A borrower needs the row only once it has had a request: its headroom
+            # depends on the tokens left and on the others' demand.
             is_due = lends or account.demand.largest > 0
         else:
             is_due = lends and self._has_plan(account)
@@ -327,26 +329,29 @@
             spawn(self._adjust(name), "AccountBook")
 
     def _adjust_loans(self, name: str, account: Account) -> None:
-        """Hand back what is not needed, or borrow ahead what is."""
+        """Return surplus tokens of a borrower, or borrow more headroom."""
         if account.unspent <= 0 and not account.demand.largest:
             return
         self._loans.return_surplus(name, account)
-        if self._loans.lacks_ahead(account):
-            self._borrow_soon(name, self._loans.top_up(account, name))
+        if self._loans.needs_top_up(account):
+            self._start_borrowing(name, self._loans.top_up(account, name))
 
-    def _may_hold(self, account: Account) -> bool:
-        """Tell whether this instance may hold tokens by now, if it is to."""
+    def _may_claim(self, account: Account) -> bool:
+        """Return whether this instance may claim an allotment now.
+
+        On a fleet's first start it waits until the startup period ends.
+        """
         now = self.clock.seconds()
-        return now >= self._settled_at or not _is_untouched(account, now)
+        return now >= self._startup_ends_at or not _is_unclaimed(account, now)
 
     def _has_plan(self, account: Account) -> bool:
-        if not self._may_hold(account):
+        if not self._may_claim(account):
             return False
         return plan_headroom(account, self.clock.seconds()) is not None
 
     async def _adjust_all(self) -> None:
         for name in self._accounts:
-            self._adjust_soon(name)
+            self._schedule_adjustment(name)
 
     async def _adjust(self, name: str) -> None:
         account = self._accounts[name]
@@ -356,7 +361,7 @@
                 if not await self._rows.read(name, account):
                     self._unread.add(name)
                     return
-            writes = self._loans.lends(name) and self._may_hold(account)
+            writes = self._loans.lends(name) and self._may_claim(account)
             attempts = WRITE_ATTEMPTS if writes else 0
             for _ in range(attempts):
                 if await self._rows.write(name, account):
@@ -365,6 +370,6 @@
             self._writing.discard(name)
 
 
-def _is_untouched(account: Account, now: float) -> bool:
-    """Tell whether nobody holds or asked for tokens, as on a fleet's first start."""
+def _is_unclaimed(account: Account, now: float) -> bool:
+    """Return whether no instance holds or requested tokens, as on a first start."""
     return not account.row.holders and not account.demand.rate(now)
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/allotmentrows.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/allotmentrows.py
@@ -1,4 +1,4 @@
-"""The rows of budgets in the store: read, written under their version, closed."""
+"""Reading, conditionally writing and closing allotment rows in the store."""
 
 from __future__ import annotations
 
@@ -29,14 +29,14 @@
     from pondquay_daemon.relay.store import Store
 
 TABLE = "allotments"
-# Pause after a failed call, and how often it doubles after several in a row: the table
-# turns writes away that it cannot take, and those that come again at once keep it full.
+# Delay after a failed call. Consecutive failures double it, up to a limit, so that
+# retries do not keep an overloaded table busy.
 RETRY_SECONDS = 0.1
 MAX_DOUBLINGS = 4
 
 
 class AllotmentRows:
-    """Keeps accounts in step with their rows, one call for each at a time."""
+    """Synchronizes accounts with their rows, with one call per account at a time."""
 
     def __init__(self, clock: IReactorTime, store: Store) -> None:
         self._clock = clock
@@ -44,18 +44,21 @@
         self._failures: Counter[str] = Counter()
 
     async def read(self, name: str, account: Account) -> bool:
-        """Read a workspace's row; tell whether that succeeded."""
+        """Read a workspace's row; return whether that succeeded."""
         reply = await self._store.read_row(row_key(name))
         if isinstance(reply, Unreachable):
-            await self._pause(name)
+            await self._back_off(name)
             return False
-        if not take_row(name, account, reply):
-            await self._pause(name)
+        if not apply_row(name, account, reply):
+            await self._back_off(name)
             return False
         return True
 
     async def write(self, name: str, account: Account) -> bool:
-        """Write what is planned; ``False`` if another's write came before."""
+        """Write the planned headroom.
+
+        :returns: ``False`` if the row has changed and the write should be retried
+        """
         now = self._clock.seconds()
         headroom = plan_headroom(account, now)
         if headroom is None:
@@ -65,8 +68,8 @@
         transaction = make_transaction(name, account.version or ABSENT, change.row)
         reply = await self._store.commit(transaction)
         if isinstance(reply, Conflict):
-            if not take_row(name, account, reply.rows.rows.get(row_key(name))):
-                await self._pause(name)
+            if not apply_row(name, account, reply.rows.rows.get(row_key(name))):
+                await self._back_off(name)
             return False
         if not isinstance(reply, Committed):
             log_event(
@@ -75,7 +78,7 @@
                 workspace=name,
                 ceiling=change.ceiling,
             )
-            await self._pause(name)
+            await self._back_off(name)
             return True
         del self._failures[name]
         account.confirm(change, reply.version)
@@ -92,9 +95,10 @@
         return True
 
     async def close(self, name: str, account: Account) -> bool | None:
-        """Write one account's end.
+        """Remove this instance's entry from the row.
 
-        :returns: whether it ended, ``None`` to try again
+        :returns: whether the account is closed, ``None`` if the row has changed and
+            the write should be retried
         """
         if account.row.find(account.holder, account.boot) is None:
             return account.unspent == 0
@@ -103,29 +107,28 @@
         row = account.close()
         reply = await self._store.commit(make_transaction(name, version, row))
         if isinstance(reply, Conflict):
-            taken = take_row(name, account, reply.rows.rows.get(row_key(name)))
-            return None if taken else False
+            parsed = apply_row(name, account, reply.rows.rows.get(row_key(name)))
+            return None if parsed else False
         if isinstance(reply, Unreachable):
             account.reopen()
             return False
         log_event("allotment-closed", workspace=name, spent=spent, reply=reply)
         return True
 
-    async def _pause(self, name: str) -> None:
-        """Wait after a failed call, longer after each further one."""
+    async def _back_off(self, name: str) -> None:
+        """Wait after a failed call, longer after each consecutive failure."""
         doublings = min(MAX_DOUBLINGS, self._failures[name])
         self._failures[name] += 1
-        longest = RETRY_SECONDS * 2**doublings
-        await sleep(uniform(RETRY_SECONDS, longest), self._clock)
+        max_delay = RETRY_SECONDS * 2**doublings
+        await sleep(uniform(RETRY_SECONDS, max_delay), self._clock)
 
 
-def take_row(name: str, account: Account, row: Row | None) -> bool:
-    """Take in a row as it was read, ``None`` if it is not there.
+def apply_row(name: str, account: Account, row: Row | None) -> bool:
+    """Update an account from its row, ``None`` if the row does not exist.
 
-    Of a row that nobody can read the account learns nothing: it spends what it was
-    known to hold, and writes nothing over what may stand there.
+    A malformed row leaves the account as it is and is not overwritten.
 
-    :returns: whether the row could be read
+    :returns: whether the row could be parsed
     """
     if row is None:
         account.read(EMPTY_ROW, ABSENT)
@@ -145,7 +148,7 @@
 
 
 def make_transaction(workspace: str, version: int, row: AllotmentRow) -> Transaction:
-    """Return the write of a row that must still be at a version."""
+    """Return a write of a row on condition that its version has not changed."""
     key = row_key(workspace)
     return Transaction(
         "allotment", (Condition(key, version),), (Write(key, row.to_value()),)
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/configurationfetch.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/configurationfetch.py
@@ -1,4 +1,4 @@
-"""Fetching a newer configuration from peers, where the store does not bring it."""
+"""Fetching a newer configuration from peers when the store does not deliver it."""
 
 from __future__ import annotations
 
@@ -16,22 +16,21 @@
     from pondquay_daemon.relay.peerlinks import PeerLink
     from pondquay_daemon.relay.peerlistener import PeerListener
 
-# The store tells those that it serves of a change within about the first time, and a
-# large configuration comes from it within the second, over the slowest links.
+# The store usually delivers a change within the first delay, and a large configuration
+# over a slow link within the second.
 FETCH_WAIT_SECONDS = 0.25
 STORE_WAIT_SECONDS = 1.0
-# Time for a peer to send a large configuration over a slow link.
+# Time in which a peer sends a large configuration over a slow link.
 FETCH_SECONDS = 0.7
 
 
 class ConfigurationFetch:
-    """Asks one peer after the other until none has a newer configuration.
+    """Requests the configuration from peers until none has a newer version.
 
-    The store tells most instances of a change at about the same time, and what it tells
-    need not come from peers. One peer is asked at a time, any of those that have it, so
-    that no link carries the whole configuration more than once.
+    It first waits for the store, which notifies most instances at the same time. It
+    asks one random peer at a time so that the configuration is transferred only once.
 
-    :param links: all open links, as they are at any time
+    :param links: live view of all open links
     """
 
     def __init__(
@@ -43,7 +42,7 @@
         self._running = False
 
     def begin(self) -> None:
-        """Fetch what peers have, unless that is under way."""
+        """Start fetching, unless a fetch is already running."""
         if not self._running:
             self._running = True
             spawn(self._run(), "ConfigurationFetch")
@@ -54,15 +53,15 @@
             if self._listener.store_reachable():
                 await sleep(STORE_WAIT_SECONDS, self._clock)
             asked: PeerLink | None = None
-            while ahead := self._list_ahead():
-                others = [one for one in ahead if one is not asked]
-                asked = choice(others or ahead)
+            while newer := self._list_newer():
+                others = [link for link in newer if link is not asked]
+                asked = choice(others or newer)
                 asked.send(FetchConfiguration())
                 await sleep(FETCH_SECONDS, self._clock)
         finally:
             self._running = False
 
-    def _list_ahead(self) -> list[PeerLink]:
+    def _list_newer(self) -> list[PeerLink]:
         """Return the links to peers with a newer configuration."""
         version = self._listener.configuration_version()
-        return [one for one in self._links if one.version > version]
+        return [link for link in self._links if link.version > version]
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/crashmonitor.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/crashmonitor.py
@@ -1,9 +1,9 @@
-"""Finding out under which requests upstreams crash, and refusing such requests.
+"""Detection of requests that crash upstreams, and refusal of such requests.
 
-A connection that breaks does not say whether the upstream has ended or only the
-connection. A short while later its address is tried: where nobody listens any more, the
-upstream has ended under all requests that broke with it. Where nothing answers at all,
-it has if its row goes from the list.
+A broken connection does not show whether the upstream crashed. Shortly afterwards its
+address is checked. If the connection is refused, the upstream crashed under all
+requests that were lost with it. If the check times out, the upstream counts as crashed
+once its row is removed from the list.
 """
 
 from __future__ import annotations
@@ -35,32 +35,30 @@
     from pondquay_daemon.relay.messages import RequestHead
     from pondquay_daemon.relay.metrics import RelayMetrics
 
-# Seconds after which the address is tried. An ending process closes its connections one
-# by one, and the port it listens on among them.
-CHECK_SECONDS = 0.05
-# Seconds for which a row that goes tells that its upstream had ended: three heartbeats
-# of 1.2 s without a word, and the time in which the list tells it.
-ROW_SECONDS = 8.0
-# Longest that a request waits for such a check, in seconds: its pause, and a connection
-# that comes at the last moment.
-MAX_WAIT_SECONDS = CHECK_SECONDS + CONNECT_SECONDS + STAY_SECONDS
-# A request whose events have been coming for this long, in seconds, is not what crashed
-# its upstream: one that does so does it as it begins to run. So fewer streams are
-# refused where upstreams crash of something else.
+# Delay before the address is checked, since an exiting process closes its connections
+# and its listening port one after another.
+CHECK_DELAY_SECONDS = 0.05
+# Time after a broken connection in which the removal of the row indicates a crash. It
+# covers the missed heartbeats and the delay of the list.
+ROW_REMOVAL_SECONDS = 8.0
+# Longest time that a request waits for a check.
+MAX_CHECK_WAIT_SECONDS = CHECK_DELAY_SECONDS + CONNECT_SECONDS + STAY_SECONDS
+# A request that has streamed events for longer is not suspected: a request that crashes
+# its upstream does so when it begins to run.
 SUSPECT_STREAM_SECONDS = 1.0
-# Lost requests that wait at a time to be explained.
-MAX_UNEXPLAINED = 1024
-FROM_HERE = "here"
-REASON = "upstreams crashed under this request"
+# Lost contents that are kept per upstream while its check is pending.
+MAX_PENDING_CONTENTS = 1024
+OWN_SOURCE = "here"
+BLOCKED_REASON = "upstreams crashed under this request"
 
 
 @dataclass(slots=True)
-class _Broken:
-    """An upstream to which connections broke.
+class _BrokenUpstream:
+    """An upstream whose connections broke.
 
-    :param since: when the first did, in seconds
-    :param contents: requests that were lost
-    :param checked: fires once its address was tried
+    :param since: time of the first broken connection, in seconds
+    :param contents: contents of the requests that were lost
+    :param checked: fires once the address has been checked
     """
 
     since: float
@@ -69,13 +67,12 @@
 
 
 class CrashMonitor:
-    """What one instance knows of crashes, and how it learns of them.
+    """Detects crashes of upstreams and shares them with peers and the table.
 
-    :param instance: its name
-    :param domains: returns the domain of each instance that is known
-    :param announce: tells peers
-    :param keep: has the table keep what is known of a refused content, or drop what is
-        refused no longer
+    :param instance: name of this instance
+    :param domains: returns the domain of each known instance
+    :param announce: sends reports to all peers
+    :param keep: updates the table's row of a content that is or was blocked
     """
 
     def __init__(
@@ -93,68 +90,72 @@
         self._announce = announce
         self._keep = keep
         self._metrics = metrics
-        self.history = CrashHistory(reactor.seconds, self._is_first)
-        self._broken: dict[str, _Broken] = {}
+        self.history = CrashHistory(reactor.seconds, self._ranks_first)
+        self._broken: dict[str, _BrokenUpstream] = {}
 
     def note_broken(self, upstream: KnownUpstream, content: bytes) -> None:
-        """Learn that a request was lost with its connection.
+        """Record that a request was lost with its connection.
 
-        What leaves ends at some time, with what still runs there.
+        Upstreams that leave are ignored, since they are expected to exit.
         """
         if upstream.leaving or upstream.missing_since is not None:
             return
         name = upstream.name
         broken = self._broken.get(name)
         if broken is None or broken.checked.called:
-            self._forget_old()
+            self._drop_expired()
             contents = set() if broken is None else broken.contents
-            broken = _Broken(self._reactor.seconds(), contents)
+            broken = _BrokenUpstream(self._reactor.seconds(), contents)
             self._broken[name] = broken
             address = upstream.record.address
-            self._reactor.callLater(CHECK_SECONDS, self._check, name, address)
-        if len(broken.contents) < MAX_UNEXPLAINED:
+            self._reactor.callLater(CHECK_DELAY_SECONDS, self._check, name, address)
+        if len(broken.contents) < MAX_PENDING_CONTENTS:
             broken.contents.add(content)
 
     async def wait_for_check(self, content: bytes) -> None:
-        """Wait until it is known whether upstreams crashed that would be one too many.
+        """Wait for pending checks that may cause the content to be blocked.
 
-        To try elsewhere at once costs a caller nothing, but for a content under which
-        upstreams crashed before it may cost one more.
+        Otherwise a retry could crash a further upstream before the result is known.
         """
-        pending = [one for one in self._broken.values() if content in one.contents]
+        pending = [
+            broken for broken in self._broken.values() if content in broken.contents
+        ]
         known = self.history.find(content)
         crashed = 0 if known is None else len(known.crashed - known.cleared)
         if crashed + len(pending) < CRASHES_TO_BLOCK:
             return
-        for one in pending:
-            await wait_at_most(one.checked, MAX_WAIT_SECONDS, self._reactor, None)
+        for broken in pending:
+            await wait_at_most(
+                broken.checked, MAX_CHECK_WAIT_SECONDS, self._reactor, None
+            )
 
     def note_row_removed(self, upstream: str) -> None:
-        """Learn that an upstream's row is gone."""
+        """Record that an upstream's row was removed from the list."""
         broken = self._broken.get(upstream)
         if broken is None:
             return
-        if self._reactor.seconds() - broken.since <= ROW_SECONDS:
+        if self._reactor.seconds() - broken.since <= ROW_REMOVAL_SECONDS:
             self._note_crashed(upstream, "row gone")
         else:
             del self._broken[upstream]
 
     def note_served(self, content: bytes) -> None:
-        """Learn that a request ran to its end."""
+        """Record that a request with this content completed."""
         before = self.history.find(content)
         report = self.history.note_served(content)
         if report is None or before is None:
             return
         self._announce([report])
         if before.blocked:
-            self._log_decision(report, FROM_HERE)
+            self._log_decision(report, OWN_SOURCE)
             self._keep(report)
 
     def receive(self, report: CrashReport, source: str) -> None:
-        """Take in what a peer or the table knows.
+        """Merge a report from a peer or the table.
 
-        What decides about a content goes on to all peers, since not every two instances
-        of a large fleet are linked. Other suspicions do not: with a crash come dozens.
+        Reports that block or clear a content are forwarded to all peers, since not all
+        instances of a large fleet are linked. Other reports are not forwarded: each
+        crash causes dozens of them.
         """
         before = self.history.find(report.content)
         if not self.history.receive(report):
@@ -167,18 +168,18 @@
             self._announce([now])
         if now.blocked != was_blocked:
             self._log_decision(now, source)
-        if now.blocked != was_blocked and self._is_first(now.content):
+        if now.blocked != was_blocked and self._ranks_first(now.content):
             self._keep(now)
 
     def check(self, content: bytes) -> Refusal | None:
-        """Return the refusal of a request that crashes upstreams, if it is known to."""
+        """Return a refusal if the content is blocked, ``None`` otherwise."""
         blocked = self.history.check(content)
         if blocked is None:
             return None
-        return Refusal(UNAVAILABLE, REASON, blocked.retry_after)
+        return Refusal(UNAVAILABLE, BLOCKED_REASON, blocked.retry_after)
 
     def take_trial(self, content: bytes) -> bool:
-        """Allow a refused request one run, if that is due here."""
+        """Start a trial of a blocked request if one is due; return whether it is."""
         report = self.history.take_trial(content)
         if report is None:
             return False
@@ -188,29 +189,31 @@
         return True
 
     def describe(self) -> list[dict[str, object]]:
-        """Return what is refused, for operators."""
+        """Return the contents that are blocked, for operators."""
         return [
             {
-                "content": one.content.hex(),
-                "upstreams": sorted(one.crashed - one.cleared),
-                "trials": one.trials,
+                "content": report.content.hex(),
+                "upstreams": sorted(report.crashed - report.cleared),
+                "trials": report.trials,
             }
-            for one in self.history.blocked()
+            for report in self.history.blocked()
         ]
 
     def _check(self, upstream: str, address: Address) -> None:
         ConnectionCheck.start(
-            self._reactor, address, lambda shown: self._take_check(upstream, shown)
+            self._reactor,
+            address,
+            lambda result: self._receive_check_result(upstream, result),
         )
 
-    def _take_check(self, upstream: str, shown: Listening) -> None:
-        self._metrics.broken.labels(shown.value).inc()
+    def _receive_check_result(self, upstream: str, result: Listening) -> None:
+        self._metrics.broken.labels(result.value).inc()
         broken = self._broken.get(upstream)
         if broken is None:
             return
-        if shown is Listening.NO:
+        if result is Listening.NO:
             self._note_crashed(upstream, "nobody listens")
-        elif shown is Listening.YES:
+        elif result is Listening.YES:
             del self._broken[upstream]
         broken.checked.callback(None)
 
@@ -225,12 +228,14 @@
             why=why,
             requests=len(broken.contents),
         )
-        noted = [self.history.note_crash(one, upstream) for one in broken.contents]
-        reports = [one for one in noted if one is not None]
+        noted = [
+            self.history.note_crash(content, upstream) for content in broken.contents
+        ]
+        reports = [update for update in noted if update is not None]
         self._announce(reports)
         for report in reports:
             if report.blocked:
-                self._log_decision(report, FROM_HERE)
+                self._log_decision(report, OWN_SOURCE)
                 self._keep(report)
 
     def _log_decision(self, report: CrashReport, source: str) -> None:
@@ -243,73 +248,78 @@
             source=source,
         )
 
-    def _is_first(self, content: bytes) -> bool:
-        """Tell whether this instance is the first of all in the rank of a content."""
+    def _ranks_first(self, content: bytes) -> bool:
+        """Return whether this instance ranks first for a content, by rendezvous."""
         name = content.hex()
         ranked: Iterable[str] = self._domains()
-        best = min(ranked, key=lambda one: score_pair(name, one), default="")
+        best = min(ranked, key=lambda instance: score_pair(name, instance), default="")
         return best == self._instance
 
-    def _forget_old(self) -> None:
-        oldest = self._reactor.seconds() - ROW_SECONDS
+    def _drop_expired(self) -> None:
+        oldest = self._reactor.seconds() - ROW_REMOVAL_SECONDS
         for name, broken in list(self._broken.items()):
             if broken.since < oldest:
                 del self._broken[name]
 
 
 class ContentPermit:
-    """Whether one request may be sent, as far as its content goes.
+    """Checks whether a request may be sent, given the crashes under its content.
 
-    :param owner: workspace of its caller, empty if it has none
+    :param owner: workspace of the caller, empty if there is none
     """
 
     def __init__(
-        self, watch: CrashMonitor, owner: str, host: str, head: RequestHead, body: bytes
+        self,
+        monitor: CrashMonitor,
+        owner: str,
+        host: str,
+        head: RequestHead,
+        body: bytes,
     ) -> None:
-        self._watch = watch
+        self._monitor = monitor
         self._parts = (owner, host, head.target, body)
         self._digest = b""
         self._on_trial = False
 
     @property
     def content(self) -> bytes:
-        """The digest of the content, made when it is first asked for."""
+        """The digest of the content, computed on first use."""
         if not self._digest:
             self._digest = digest_content(*self._parts)
         return self._digest
 
     def take(self) -> Refusal | None:
-        """Return a refusal, unless the request may begin."""
-        if self._watch.history.empty:
+        """Return a refusal if the request must not start, ``None`` otherwise."""
+        if self._monitor.history.empty:
             return None
-        refusal = self._watch.check(self.content)
+        refusal = self._monitor.check(self.content)
         if refusal is None:
             return None
-        self._on_trial = self._watch.take_trial(self.content)
+        self._on_trial = self._monitor.take_trial(self.content)
         return None if self._on_trial else refusal
 
     def recheck(self, sends: int) -> Refusal | None:
-        """Return a refusal, unless the request may be sent once more.
+        """Return a refusal if the request must not be sent again, ``None`` otherwise.
 
-        :param sends: how often it was sent
+        :param sends: number of times that it has been sent
         """
-        if self._watch.history.empty or (self._on_trial and not sends):
+        if self._monitor.history.empty or (self._on_trial and not sends):
             return None
-        return self._watch.check(self.content)
+        return self._monitor.check(self.content)
 
     def note_served(self) -> None:
-        """Take in that it ran to its end."""
-        if not self._watch.history.empty:
-            self._watch.note_served(self.content)
+        """Record that the request completed."""
+        if not self._monitor.history.empty:
+            self._monitor.note_served(self.content)
 
     def note_broken(self, upstream: KnownUpstream, streamed: float) -> None:
-        """Take in that it was lost with its connection to an upstream.
+        """Record that the request was lost with its connection to an upstream.
 
-        :param streamed: seconds for which events had been coming from there
+        :param streamed: seconds for which the upstream had streamed events
         """
         if streamed < SUSPECT_STREAM_SECONDS:
-            self._watch.note_broken(upstream, self.content)
+            self._monitor.note_broken(upstream, self.content)
 
     async def wait_for_check(self) -> None:
-        """Wait, if one more upstream may crash under it, until the last is judged."""
-        await self._watch.wait_for_check(self.content)
+        """Wait for pending checks that may cause the request to be refused."""
+        await self._monitor.wait_for_check(self.content)
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/crashrows.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/crashrows.py
@@ -1,8 +1,8 @@
-"""Keeping contents that are refused in the store, for when all instances are lost.
+"""Persisting blocked contents in the store, for when all instances are lost.
 
-Peers tell each other of them within milliseconds. The rows are for instances that start
-where no peer is left: each reads them once. Without them three more upstreams would
-crash under each such request after every loss of all instances.
+Peers exchange crash reports over links. The rows are for instances that start without
+peers; each instance reads them once. Without them, a blocked request would crash
+upstreams again after a restart of the whole fleet.
 """
 
 from __future__ import annotations
@@ -35,16 +35,16 @@
 
 TABLE = "crashes"
 RETRY_SECONDS = 0.5
-# Rows beyond those that an instance keeps in memory that one start deletes; each takes
-# a write.
+# Rows beyond an instance's limit in memory that it deletes at its start; each deletion
+# is a write.
 MAX_DELETED = 16
 
 
 class CrashRows:
-    """Reads the rows once, and writes those of contents that this instance decides on.
+    """Reads all rows at the start, and writes rows of contents that change here.
 
-    :param receive: takes in what a row says
-    :param find: returns what is known now of a content
+    :param receive: called with the report of each row that is read
+    :param find: returns the current report of a content
     """
 
     def __init__(
@@ -58,13 +58,13 @@
         self._store = store
         self._receive = receive
         self._find = find
-        # Contents whose rows have to be written, one after another: while the store is
-        # away there is one call at a time, however many contents there are.
+        # Contents whose rows have to be written. They are written one at a time, which
+        # bounds the number of calls while the store is unreachable.
         self._changed: dict[bytes, None] = {}
         self._writing = False
 
     async def read(self) -> None:
-        """Read the rows, until the store has answered."""
+        """Read the rows, retrying until the store responds."""
         while True:
             reply = await self._store.read_table(TABLE)
             if not isinstance(reply, Unreachable):
@@ -72,13 +72,13 @@
             await sleep(RETRY_SECONDS, self._clock)
         rows = sorted(reply.rows, key=lambda row: -row.version)
         for row in reversed(rows[:MAX_BLOCKED]):
-            self._take(row)
+            self._receive_row(row)
         log_event("crashes-read", count=len(rows))
         for row in rows[MAX_BLOCKED : MAX_BLOCKED + MAX_DELETED]:
             await self._commit(row.key, row.version, None)
 
     def keep(self, report: CrashReport) -> None:
-        """Have the row of a content say what is known of it."""
+        """Schedule a write of a content's row."""
         self._changed[report.content] = None
         if not self._writing:
             self._writing = True
@@ -88,22 +88,22 @@
         try:
             while self._changed:
                 content = next(iter(self._changed))
-                if await self._write_once(content):
+                if await self._write_row(content):
                     self._changed.pop(content, None)
                 else:
                     await sleep(RETRY_SECONDS, self._clock)
         finally:
             self._writing = False
 
-    async def _write_once(self, content: bytes) -> bool:
-        """Write or delete the row; tell whether it says what is known now."""
+    async def _write_row(self, content: bytes) -> bool:
+        """Write or delete the row; return whether it is up to date."""
         key = content.hex()
         row = await self._store.read_row(f"{TABLE}/{key}")
         if isinstance(row, Unreachable):
             return False
         if row is not None:
-            # So that two that write it come to say the same.
-            self._take(row)
+            # Merged first, so that concurrent writers converge on the same row.
+            self._receive_row(row)
         report = self._find(content)
         value = None
         if report is not None and report.blocked:
@@ -122,7 +122,7 @@
             log_event("crash-row-not-written", Level.WARNING, key=key)
         return isinstance(reply, Committed)
 
-    def _take(self, row: Row) -> None:
+    def _receive_row(self, row: Row) -> None:
         try:
             self._receive(unpack_report(row.key, row.value))
         except MalformedValueError as error:
@@ -135,11 +135,11 @@
 class _CrashDocument(msgspec.Struct, frozen=True):
     """A content's row, which other builds read and write as well.
 
-    What a row says is refused, which does not change with the ages, so it does not
-    matter that they are of the moment of writing.
+    The ages are those at the time of the write. They may become stale, since whether a
+    content is blocked depends only on their differences.
 
-    :param crashed: lives of upstreams; some builds write them with their ages
-    :param ages: seconds since they crashed; some builds write none
+    :param crashed: incarnations of upstreams; some builds store them with their ages
+    :param ages: seconds since the crashes; some builds store none
     """
 
     crashed: list[str] | _Ages
@@ -160,9 +160,9 @@
 
 
 def unpack_report(key: str, value: JsonObject) -> CrashReport:
-    """Return what a row says.
+    """Return the report that a row holds.
 
-    :raises MalformedValueError: if it has another form
+    :raises MalformedValueError: if the key or the value is malformed
     """
     try:
         content = bytes.fromhex(key)
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/evacuationview.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/evacuationview.py
@@ -1,4 +1,4 @@
-"""Following which failure domains operators empty and take back."""
+"""Tracking which failure domains operators evacuate and restore."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 
 
 class EvacuationView(TableListener):
-    """Keeps the directory's emptied domains up to date, and passes news on.
+    """Updates the directory's evacuated domains and forwards changes to peers.
 
-    :param cold_seconds: returns for how long upstreams of a service are cold
-    :param announce: tells peers; called once with each piece of news, wherever it came
-        from, so that it also reaches those that the table does not serve
+    :param cold_seconds: returns the seconds for which a service's upstreams are cold
+    :param announce: sends a change to all peers; called once for each change from the
+        table or a peer, so that it reaches instances without access to the table
     """
 
     def __init__(
@@ -40,38 +40,40 @@
         self._announce = announce
 
     def apply_snapshot(self, snapshot: Snapshot) -> None:
-        """Take in the table as a whole."""
+        """Apply a snapshot of the table."""
         evacuated: dict[str, int] = {}
         for row in snapshot.rows:
             domain = self._border.find_evacuated_domain(row.key)
             if domain is not None:
                 evacuated[domain] = row.version
-        for news in self._directory.evacuations.replace(evacuated, snapshot.version):
-            self._act(news, STORE)
+        for evacuation in self._directory.evacuations.replace(
+            evacuated, snapshot.version
+        ):
+            self._publish(evacuation, STORE)
 
     def apply_change(self, change: RowChange) -> None:
-        """Take in one row."""
+        """Apply a change of one row."""
         domain = self._border.find_evacuated_domain(change.key)
         if domain is not None:
-            news = Evacuation(domain, change.version, change.value is not None)
-            self._take(news, STORE)
+            evacuation = Evacuation(domain, change.version, change.value is not None)
+            self._apply(evacuation, STORE)
 
-    def receive(self, news: Evacuation) -> None:
-        """Take in what a peer knows."""
-        self._take(news, PEER)
+    def receive(self, evacuation: Evacuation) -> None:
+        """Apply a change that a peer reports."""
+        self._apply(evacuation, PEER)
 
-    def _take(self, news: Evacuation, source: str) -> None:
-        if self._directory.evacuations.take(news):
-            self._act(news, source)
+    def _apply(self, evacuation: Evacuation, source: str) -> None:
+        if self._directory.evacuations.take(evacuation):
+            self._publish(evacuation, source)
 
-    def _act(self, news: Evacuation, source: str) -> None:
+    def _publish(self, evacuation: Evacuation, source: str) -> None:
         log_event(
-            "domain-emptied" if news.evacuated else "domain-taken-back",
+            "domain-emptied" if evacuation.evacuated else "domain-taken-back",
             Level.WARNING,
-            domain=news.domain,
-            version=news.version,
+            domain=evacuation.domain,
+            version=evacuation.version,
             source=source,
         )
-        if not news.evacuated:
-            self._directory.note_taken_back(news.domain, self._cold_seconds)
-        self._announce(news)
+        if not evacuation.evacuated:
+            self._directory.note_taken_back(evacuation.domain, self._cold_seconds)
+        self._announce(evacuation)
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/feeds.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/feeds.py
@@ -1,4 +1,4 @@
-"""Following tables of the store: everything once, then what changes."""
+"""Following tables of the store: a snapshot first, then changes."""
 
 from __future__ import annotations
 
@@ -18,73 +18,73 @@
 
     from pondquay_daemon.relay.store import RowChange, Store
 
-# A poll is short, so that a connection that has gone silent is noticed.
+# Polls are short so that an unresponsive connection is detected.
 POLL_SECONDS = 0.9
-# Pause after a failed call, drawn between the two.
-PAUSE_SECONDS = (0.1, 0.35)
-# After the history was lost, or the store away, reads may lag behind for a while; the
-# table is read again and again until this has passed.
-DOUBT_SECONDS = 10.0
-REREAD_SECONDS = 0.7
-# Part of the time that such reads may take: callers' requests go over the same link.
-REREAD_PART = 0.05
+# Bounds of the random delay after a failed call.
+RETRY_DELAY_BOUNDS = (0.1, 0.35)
+# After a failed poll or a lost history, reads may be stale for a while, so the table is
+# reread periodically until this time has passed.
+REREAD_PERIOD_SECONDS = 10.0
+REREAD_INTERVAL_SECONDS = 0.7
+# Share of the time that rereads may take, as they share a link with callers' requests.
+MAX_REREAD_FRACTION = 0.05
 
 
 class TableListener(ABC):
-    """What is told of a table."""
+    """Receives the contents and changes of a table."""
 
     @abstractmethod
     def apply_snapshot(self, snapshot: Snapshot) -> None:
-        """Take in the table as a whole, perhaps older than what is known."""
+        """Apply a snapshot, which may be older than the last change."""
 
     @abstractmethod
     def apply_change(self, change: RowChange) -> None:
-        """Take in one row."""
+        """Apply a change of one row."""
 
     def note_synced(self) -> None:
-        """Learn that the table answers; called before what it says is taken in."""
+        """Record that the table responded; called before its response is applied."""
         return
 
     def note_disconnected(self) -> None:
-        """Learn that the table does not answer."""
+        """Record that the table does not respond."""
         return
 
 
 class JointListener(TableListener):
-    """Tells several listeners of one table, in order."""
+    """Passes a table's events to several listeners, in order."""
 
     def __init__(self, *listeners: TableListener) -> None:
         self._listeners = listeners
 
     def apply_snapshot(self, snapshot: Snapshot) -> None:
-        """Take in the table as a whole."""
-        for one in self._listeners:
-            one.apply_snapshot(snapshot)
+        """Pass on a snapshot."""
+        for listener in self._listeners:
+            listener.apply_snapshot(snapshot)
 
     def apply_change(self, change: RowChange) -> None:
-        """Take in one row."""
-        for one in self._listeners:
-            one.apply_change(change)
+        """Pass on a change of one row."""
+        for listener in self._listeners:
+            listener.apply_change(change)
 
     def note_synced(self) -> None:
-        """Learn that the table answers."""
-        for one in self._listeners:
-            one.note_synced()
+        """Pass on that the table responded."""
+        for listener in self._listeners:
+            listener.note_synced()
 
     def note_disconnected(self) -> None:
-        """Learn that the table does not answer."""
-        for one in self._listeners:
-            one.note_disconnected()
+        """Pass on that the table does not respond."""
+        for listener in self._listeners:
+            listener.note_disconnected()
 
 
 class TableFeed:
     """Keeps a listener up to date with a table.
 
-    :param table: its name
+    :param table: name of the table
     :param pause: returns the seconds between two polls, for tables that change often
-        and whose news can wait
-    :param rereads: whether the table is read again while there is doubt; needless where
-        whoever writes a row learns its newest state
+        and whose changes are not urgent
+    :param rereads: whether the table is reread while reads may be stale; unnecessary
+        if every writer of a row learns its latest version
     """
 
     def __init__(
@@ -104,36 +104,36 @@
         self._table = table
         self._listener = listener
         self._since: int | None = None
-        self._doubt_until = 0.0
-        self._read_again_at = 0.0
+        self._reread_until = 0.0
+        self._next_reread_at = 0.0
         self._confirmed: float | None = None
-        self._answered: bool | None = None
+        self._succeeded: bool | None = None
         self._running = False
 
     def start(self) -> None:
-        """Begin to follow."""
+        """Start following the table."""
         self._running = True
         spawn(self._run(), f"feed-{self._table}")
 
     def stop(self) -> None:
-        """Follow no longer."""
+        """Stop following the table."""
         self._running = False
 
     @property
     def reachable(self) -> bool:
-        """Whether the last call was answered."""
-        return self._answered is True
+        """Whether the last call succeeded."""
+        return self._succeeded is True
 
     @property
     def confirmed(self) -> float | None:
-        """As of when the store last confirmed what is known, in seconds.
+        """The time as of which the store last confirmed the known state, in seconds.
 
-        While an answer is taken in this is still of the one before.
+        It is updated after a response has been applied.
         """
         return self._confirmed
 
     def age(self) -> float | None:
-        """Seconds since the store last confirmed what is known, ``None`` if never."""
+        """Return the seconds since the last confirmation, ``None`` if there is none."""
         if self._confirmed is None:
             return None
         return self._clock.seconds() - self._confirmed
@@ -141,66 +141,68 @@
     async def _run(self) -> None:
         while self._running:
             succeeded = await self._step()
-            self._note(succeeded)
+            self._log_reachability(succeeded)
             if not succeeded:
                 self._listener.note_disconnected()
-                await sleep(uniform(*PAUSE_SECONDS), self._clock)
+                await sleep(uniform(*RETRY_DELAY_BOUNDS), self._clock)
             elif pause := self._pause():
                 await sleep(pause, self._clock)
 
     async def _step(self) -> bool:
-        """Read or poll once; a row that nobody can read must not end the feed."""
+        """Read or poll once; an error must not end the feed."""
         try:
             if self._since is None:
                 return await self._read()
             return await self._poll(self._since)
         except Exception as error:
             self._log_failure(error)
-            self._begin_doubt()
+            self._start_rereading()
             return False
 
     async def _read(self) -> bool:
-        asked = self._clock.seconds()
+        started_at = self._clock.seconds()
         reply = await self._store.read_table(self._table)
         if isinstance(reply, Unreachable):
             return False
-        took = self._clock.seconds() - asked
-        self._read_again_at = asked + max(REREAD_SECONDS, took / REREAD_PART)
+        duration = self._clock.seconds() - started_at
+        self._next_reread_at = started_at + max(
+            REREAD_INTERVAL_SECONDS, duration / MAX_REREAD_FRACTION
+        )
         self._listener.note_synced()
         self._listener.apply_snapshot(reply)
         self._since = max(self._since or 0, reply.version)
-        self._confirmed = asked
+        self._confirmed = started_at
         return True
 
     async def _poll(self, since: int) -> bool:
         now = self._clock.seconds()
-        if self._rereads and self._read_again_at < now < self._doubt_until:
+        if self._rereads and self._next_reread_at < now < self._reread_until:
             await self._read()
-        asked = self._clock.seconds()
+        started_at = self._clock.seconds()
         reply = await self._store.follow(self._table, since, POLL_SECONDS)
         if isinstance(reply, HistoryLost):
             log_event("history-lost", Level.WARNING, table=self._table, since=since)
-            self._begin_doubt()
+            self._start_rereading()
             self._since = None
             return True
         if isinstance(reply, Unreachable):
-            self._begin_doubt()
+            self._start_rereading()
             return False
         self._listener.note_synced()
-        self._take(reply)
-        self._confirmed = self._date(reply, asked)
+        self._apply_changes(reply)
+        self._confirmed = self._get_confirmed_time(reply, started_at)
         return True
 
-    def _date(self, reply: Changes, asked: float) -> float:
-        """Return the time, in seconds, as of which an answer surely holds.
+    def _get_confirmed_time(self, reply: Changes, started_at: float) -> float:
+        """Return the time as of which a response is certainly valid, in seconds.
 
-        That nothing has changed is said at the end of the poll. Dated by its start,
-        what an idle table confirms all the time would seem up to two polls old.
+        A poll without changes is valid as of its end. Dated by its start, the state of
+        an idle table would appear up to two polls old.
         """
-        waited = self._clock.seconds() - asked >= POLL_SECONDS
-        return asked + POLL_SECONDS if waited and not reply.changes else asked
+        waited = self._clock.seconds() - started_at >= POLL_SECONDS
+        return started_at + POLL_SECONDS if waited and not reply.changes else started_at
 
-    def _take(self, reply: Changes) -> None:
+    def _apply_changes(self, reply: Changes) -> None:
         self._since = max(self._since or 0, reply.version)
         for change in reply.changes:
             try:
@@ -211,13 +213,13 @@
     def _log_failure(self, error: Exception) -> None:
         log_event("feed-failed", Level.ERROR, table=self._table, error=repr(error))
 
-    def _begin_doubt(self) -> None:
-        self._doubt_until = self._clock.seconds() + DOUBT_SECONDS
+    def _start_rereading(self) -> None:
+        self._reread_until = self._clock.seconds() + REREAD_PERIOD_SECONDS
 
-    def _note(self, succeeded: bool) -> None:
-        if succeeded is self._answered:
+    def _log_reachability(self, succeeded: bool) -> None:
+        if succeeded is self._succeeded:
             return
-        self._answered = succeeded
+        self._succeeded = succeeded
         event = "dependency-regained" if succeeded else "dependency-lost"
         level = Level.INFO if succeeded else Level.WARNING
         log_event(event, level, dependency="store", table=self._table)
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/fetch.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/fetch.py
@@ -1,4 +1,4 @@
-"""Calls that are answered as a whole, with a bound on their time."""
+"""HTTP calls with a timeout that return complete responses."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 
 @dataclass(frozen=True, slots=True)
 class FetchedResponse:
-    """A whole answer."""
+    """A complete response."""
 
     status: int
     body: bytes
 
 
 class _Collector(ExchangeListener):
-    """Collects one answer."""
+    """Collects one response."""
 
     def __init__(self) -> None:
         self.result: Deferred[FetchedResponse | Unreachable | Lost] = Deferred()
@@ -36,30 +36,30 @@
         self._body: list[bytes] = []
 
     def answered(self, head: ResponseHead) -> None:
-        """Take the head of the answer."""
+        """Store the status of the response."""
         self._status = head.status
 
     def received(self, data: bytes) -> None:
-        """Take a piece of the body."""
+        """Store a part of the body."""
         self._body.append(data)
 
     def ended(self) -> None:
-        """Hand the answer over."""
+        """Complete the call with the response."""
         self.finish(FetchedResponse(self._status, b"".join(self._body)))
 
     def broke(self, error: BrokenExchangeError) -> None:
-        """Tell whether the call may have been carried out."""
+        """Complete the call as failed; it may have run if the request was sent."""
         self.finish(Lost() if error.sent else Unreachable())
 
     def finish(self, result: FetchedResponse | Unreachable | Lost) -> None:
-        """Fire the result once."""
+        """Fire the result, unless it has fired already."""
         if not self.result.called:
             self.result.callback(result)
 
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """A call over HTTP."""
+    """An HTTP request."""
 
     method: bytes
     target: bytes
@@ -68,9 +68,9 @@
 
 
 class Fetcher:
-    """Calls one address.
+    """Makes calls to one address.
 
-    :param address: who is called
+    :param address: address of the server
     """
 
     def __init__(self, clock: IReactorTime, pool: EgressPool, address: Address) -> None:
@@ -81,18 +81,21 @@
     async def fetch(
         self, call: Call, seconds: float
     ) -> FetchedResponse | Unreachable | Lost:
-        """Make a call; an answer that takes longer counts as lost."""
+        """Make a call.
+
+        :param seconds: timeout, after which a call that was sent has an unknown outcome
+        """
         collector = _Collector()
         exchange = Exchange(
             collector, call.method, call.target, call.headers, call.body
         )
 
-        def give_up() -> None:
+        def on_timeout() -> None:
             sent = exchange.sent
             exchange.cancel()
             collector.finish(Lost() if sent else Unreachable())
 
-        timer = self._clock.callLater(seconds, give_up)
+        timer = self._clock.callLater(seconds, on_timeout)
         self._pool.start(self._address, exchange)
         try:
             return await collector.result
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/knowledge.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/knowledge.py
@@ -1,4 +1,4 @@
-"""What an instance knows of the fleet: the configuration and the upstreams."""
+"""An instance's view of the configuration and of the upstreams."""
 
 from __future__ import annotations
 
@@ -21,15 +21,14 @@
     from pondquay_daemon.relay.store import RowChange, Snapshot
 
 
-# Rows that are remembered as malformed, 200 bytes each. Each one beyond is logged at
-# each reading.
+# Malformed rows that are remembered; rows beyond them are logged on each read.
 MAX_MALFORMED = 1024
 
 
 class ConfigurationView(TableListener):
-    """The newest configuration that was heard of; its version only rises.
+    """Holds the newest known configuration; its version never decreases.
 
-    :param on_change: called with each new table
+    :param on_change: called with each new route table
     """
 
     def __init__(self, border: Border, on_change: Callable[[RouteTable], None]) -> None:
@@ -40,37 +39,37 @@
         self.value: JsonObject | None = None
 
     def apply_snapshot(self, snapshot: Snapshot) -> None:
-        """Take in the table as a whole."""
+        """Apply a snapshot of the table."""
         for row in snapshot.rows:
             if row.key == self._key:
                 self.offer(row.value)
 
     def apply_change(self, change: RowChange) -> None:
-        """Take in one row."""
+        """Apply a change of one row."""
         if change.key == self._key and change.value is not None:
             self.offer(change.value)
 
     @property
     def version(self) -> int:
-        """The version in force here, 0 if there is none."""
+        """The version in force on this instance, 0 if there is none."""
         return 0 if self.table is None else self.table.version
 
     def find_service(self, name: str) -> Service | None:
-        """Return a service, ``None`` if the configuration has none of this name."""
+        """Return a service by name, ``None`` if the configuration lacks it."""
         return None if self.table is None else self.table.service(name)
 
     def cold_rate(self, service: str) -> float:
-        """Return the requests a second that a cold upstream bears, 0 for no bound."""
+        """Return the requests per second that a cold upstream takes, 0 for no limit."""
         found = self.find_service(service)
         return 0.0 if found is None else found.cold_rate
 
     def cold_seconds(self, service: str) -> float:
-        """Return the seconds for which an upstream that has started is cold."""
+        """Return the seconds for which an upstream is cold after its start."""
         found = self.find_service(service)
         return 0.0 if found is None else found.cold_seconds
 
     def offer(self, value: JsonObject) -> bool:
-        """Take in a configuration; tell whether it is newer than the one known."""
+        """Apply a configuration if it is newer; return whether it was applied."""
         known = self.version
         if self.value is not None and value == self.value:
             return False
@@ -94,12 +93,12 @@
 
 
 class UpstreamView(TableListener):
-    """Keeps the directory of upstreams up to date with the store's list.
+    """Updates the directory of upstreams from the store's list.
 
-    :param on_departure: called with the news that an upstream leaves
-    :param on_gone: called with the name of a life that the list names no more
-    :ivar malformed: rows that name no upstream to use, with their versions and what is
-        wrong with them
+    :param on_departure: called with the departure of an upstream
+    :param on_removed: called with the name of an incarnation that is no longer listed
+    :ivar known: whether the list has been read
+    :ivar malformed: malformed rows by key, with their versions and errors
     """
 
     def __init__(
@@ -107,21 +106,21 @@
         border: Border,
         directory: UpstreamDirectory,
         on_departure: Callable[[Departure], None],
-        on_gone: Callable[[str], None],
+        on_removed: Callable[[str], None],
     ) -> None:
         self._border = border
         self._on_departure = on_departure
-        self._on_gone = on_gone
+        self._on_removed = on_removed
         self.directory = directory
         self.known = False
         self.malformed: dict[str, tuple[int, str]] = {}
 
     def apply_snapshot(self, snapshot: Snapshot) -> None:
-        """Take in the list as a whole."""
+        """Apply a snapshot of the list."""
         records: dict[str, tuple[UpstreamRecord, int]] = {}
         listed = {row.key for row in snapshot.rows}
-        for gone in [one for one in self.malformed if one not in listed]:
-            del self.malformed[gone]
+        for unlisted in [name for name in self.malformed if name not in listed]:
+            del self.malformed[unlisted]
         for row in snapshot.rows:
             record = self._read(row.key, row.version, row.value)
             if record is not None:
@@ -129,98 +128,100 @@
         before = {key: self.directory.find_listed(key) for key in records}
         changed = self.directory.replace(records, snapshot.version)
         for key, known in before.items():
-            self._note_ended(known, key)
+            self._report_ended(known, key)
         if self.known:
-            # A first list is all new, and is told by its count alone.
-            for one in changed:
-                missing_since = one.missing_since is not None
-                self._note(
-                    "upstream-vanished" if missing_since else "upstream-changed", one
+            # All rows of the first list are new; only their number is logged.
+            for upstream in changed:
+                is_missing = upstream.missing_since is not None
+                self._report_change(
+                    "upstream-vanished" if is_missing else "upstream-changed", upstream
                 )
         self.known = True
         log_event("upstreams-read", count=len(records), version=snapshot.version)
 
     def apply_change(self, change: RowChange) -> None:
-        """Take in one row of the list."""
+        """Apply a change of one row of the list."""
         if change.value is None:
             self.malformed.pop(change.key, None)
             removed = self.directory.remove(change.key, change.version)
-            self._note("upstream-vanished", removed)
+            self._report_change("upstream-vanished", removed)
             return
         record = self._read(change.key, change.version, change.value)
         if record is None:
             return
         before = self.directory.find_listed(change.key)
-        self._note("upstream-changed", self.directory.put(record, change.version))
-        self._note_ended(before, change.key)
+        self._report_change(
+            "upstream-changed", self.directory.put(record, change.version)
+        )
+        self._report_ended(before, change.key)
 
     def note_synced(self) -> None:
-        """Pass on that the list is being followed."""
+        """Pass on that the list is synchronized."""
         self.directory.note_synced()
 
     def note_disconnected(self) -> None:
-        """Pass on that the list cannot be followed."""
+        """Pass on that the list is unreachable."""
         self.directory.note_disconnected()
 
     def describe(self) -> list[dict[str, object]]:
-        """Return what is known of each upstream, for operators."""
-        left = set(self.directory.list_departed())
+        """Return the state of each upstream, for operators."""
+        departed = set(self.directory.list_departed())
         return [
             {
-                "upstream": one.record.name,
-                "born": one.record.born,
-                "service": one.record.service,
-                "address": str(one.record.address),
-                "leaving": one.leaving,
-                "vanished": one.missing_since is not None,
-                "left": one.name in left,
-                "running": one.running,
-                "reading": one.prompts.own,
-                "waiting": one.prompts.waiting,
-                "failures": one.circuit.failures,
-                "cold_until": one.cold_until,
-                "backoff_until": one.backoff_until,
-                "limit": one.limit.rate,
+                "upstream": upstream.record.name,
+                "born": upstream.record.born,
+                "service": upstream.record.service,
+                "address": str(upstream.record.address),
+                "leaving": upstream.leaving,
+                "vanished": upstream.missing_since is not None,
+                "left": upstream.name in departed,
+                "running": upstream.running,
+                "reading": upstream.prompts.own,
+                "waiting": upstream.prompts.waiting,
+                "failures": upstream.circuit.failures,
+                "cold_until": upstream.cold_until,
+                "backoff_until": upstream.backoff_until,
+                "limit": upstream.limit.rate,
             }
-            for one in self.directory.all()
+            for upstream in self.directory.all()
         ]
 
     def _read(self, key: str, version: int, value: JsonObject) -> UpstreamRecord | None:
-        """Return what a row says, ``None`` if it names no upstream to use."""
+        """Return the record that a row holds, ``None`` if the row is malformed."""
         try:
             record = self._border.read_upstream(key, value)
         except MalformedValueError as error:
-            self._note_malformed(key, version, error)
+            self._record_malformed(key, version, error)
             return None
         self.malformed.pop(key, None)
         return record
 
-    def _note_malformed(
+    def _record_malformed(
         self, key: str, version: int, error: MalformedValueError
     ) -> None:
-        """Leave out what a row named before, and say so once for each change."""
+        """Discard the upstream of a malformed row and log it once per version."""
         if self.malformed.get(key, (0, ""))[0] < version:
             log_event(
                 "row-malformed", Level.ERROR, upstream=key, version=version, error=error
             )
         if key in self.malformed or len(self.malformed) < MAX_MALFORMED:
             self.malformed[key] = (version, str(error))
-        self._note("upstream-unreadable", self.directory.discard(key, version))
+        self._report_change("upstream-unreadable", self.directory.discard(key, version))
 
-    def _note_ended(self, before: KnownUpstream | None, key: str) -> None:
-        """Tell that the life that a row named before has ended, if it has."""
+    def _report_ended(self, before: KnownUpstream | None, key: str) -> None:
+        """Report that the row's previous incarnation ended, if it did."""
         after = self.directory.find_listed(key)
         if before is not None and after is not before:
-            self._on_gone(before.name)
+            self._on_removed(before.name)
 
-    def _note(self, event: str, upstream: KnownUpstream | None) -> None:
+    def _report_change(self, event: str, upstream: KnownUpstream | None) -> None:
         if upstream is None:
             return
         departure = self.directory.find_departure(upstream.name)
         if departure is not None:
             self._on_departure(departure)
         if upstream.missing_since is not None:
-            self._on_gone(upstream.name)
+            self._on_removed(upstream.name)
         log_event(
             event,
             upstream=upstream.name,
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/linkplans.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/linkplans.py
@@ -1,4 +1,4 @@
-"""To which instances links are opened."""
+"""The choice of instances to which links are opened."""
 
 from __future__ import annotations
 
@@ -13,26 +13,24 @@
     from pondquay.addresses import Address
     from pondquay_daemon.relay.member import Member
 
-# A link on which nothing else was sent for this long carries a heartbeat, so a live
-# peer is heard every second.
+# An idle link carries a heartbeat after this time.
 HEARTBEAT_SECONDS = 0.5
-# Of a pair, the instance whose name comes first opens the link; the other one does if
-# there is none after this long, as when the first has not noticed that it was lost.
-# Otherwise both open one where a fleet starts as a whole, and each is kept alive.
-OTHER_END_SECONDS = HEARTBEAT_SECONDS
-# Links that an instance opens by itself: those within its domain, since it borrows
-# there; those to lenders of its own workspaces elsewhere; and some others, so that news
-# crosses domains.
+# Of two instances, the one whose name sorts first opens the link. The other opens it
+# only after this delay, so that they do not open two links when the fleet starts.
+FALLBACK_OPEN_SECONDS = HEARTBEAT_SECONDS
+# Limits for links to instances in the own domain, from which an instance borrows; to
+# lenders of its workspaces in other domains; and to other instances there, so that
+# announcements reach all domains.
 MAX_NEAR_LINKS = 64
 MAX_CO_LENDER_LINKS = 24
 MAX_FAR_LINKS = 16
 
 
 class LinkPlan:
-    """Chooses whom one instance calls.
+    """Chooses the instances to which an instance opens links.
 
-    :param instance: its name
-    :param domain: its failure domain
+    :param instance: name of this instance
+    :param domain: failure domain of this instance
     """
 
     def __init__(self, clock: IReactorTime, instance: str, domain: str) -> None:
@@ -42,7 +40,7 @@
         self._unlinked_since: dict[str, float] = {}
 
     def forget(self, name: str) -> None:
-        """Learn that an instance is linked, or is gone."""
+        """Drop the state of an instance that is linked or was removed."""
         self._unlinked_since.pop(name, None)
 
     def choose(
@@ -50,49 +48,49 @@
         members: Mapping[str, Member],
         linked: Collection[str],
         co_lenders: Collection[str],
-        wished: Collection[str],
+        requested: Collection[str],
     ) -> list[Address]:
-        """Return where to open links now.
+        """Return the addresses to which links should be opened now.
 
         :param linked: instances to which there are links
-        :param co_lenders: those to which links are worth most, wherever they are
-        :param wished: those to which there must be links
+        :param co_lenders: instances that lend for the same workspaces
+        :param requested: instances to which a link is required
         """
         near: list[Address] = []
-        wanted: list[Address] = []
+        chosen: list[Address] = []
         lenders: list[Address] = []
         others: list[Address] = []
         for name, member in members.items():
-            if name in linked or not self._opens(name):
+            if name in linked or not self._should_open(name):
                 continue
             if member.domain == self._domain:
                 near.append(member.address)
-            elif name in wished:
-                wanted.append(member.address)
+            elif name in requested:
+                chosen.append(member.address)
             elif name in co_lenders:
                 lenders.append(member.address)
             else:
                 others.append(member.address)
-        linked_far = {one for one in linked if not self._is_near(members.get(one))}
+        linked_far = {peer for peer in linked if not self._is_near(members.get(peer))}
         linked_near = len(linked) - len(linked_far)
-        linked_co_lenders = sum(one in co_lenders for one in linked_far)
-        wanted += _draw(near, MAX_NEAR_LINKS - linked_near)
-        wanted += _draw(lenders, MAX_CO_LENDER_LINKS - linked_co_lenders)
-        wanted += _draw(others, MAX_FAR_LINKS - len(linked_far) - len(lenders))
-        return wanted
+        linked_co_lenders = sum(peer in co_lenders for peer in linked_far)
+        chosen += _sample(near, MAX_NEAR_LINKS - linked_near)
+        chosen += _sample(lenders, MAX_CO_LENDER_LINKS - linked_co_lenders)
+        chosen += _sample(others, MAX_FAR_LINKS - len(linked_far) - len(lenders))
+        return chosen
 
     def _is_near(self, member: Member | None) -> bool:
         return member is not None and member.domain == self._domain
 
-    def _opens(self, name: str) -> bool:
-        """Tell whether it is for this instance to open a link to another now."""
+    def _should_open(self, name: str) -> bool:
+        """Return whether this instance should open the link to another one now."""
         if name == self._instance:
             return False
         now = self._clock.seconds()
         since = self._unlinked_since.setdefault(name, now)
-        return self._instance < name or now - since >= OTHER_END_SECONDS
+        return self._instance < name or now - since >= FALLBACK_OPEN_SECONDS
 
 
-def _draw(addresses: list[Address], most: int) -> list[Address]:
-    """Return some of the addresses, drawn at random."""
-    return sample(addresses, min(len(addresses), max(0, most)))
+def _sample(addresses: list[Address], max_count: int) -> list[Address]:
+    """Return a random sample of the addresses."""
+    return sample(addresses, min(len(addresses), max(0, max_count)))
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/loadannouncer.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/loadannouncer.py
@@ -1,4 +1,4 @@
-"""Telling peers what waits at upstreams, seldom and only what changed."""
+"""Announcements of the prompt tokens that wait at upstreams, batched for peers."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 
     from twisted.internet.interfaces import IReactorTime
 
-# What waits at upstreams is told this long after it changes, in large fleets later.
-LOADS_SECONDS = 0.004
-SELDOM_LOADS_SECONDS = 0.25
+# Delays between a change and its announcement, in ordinary and in large fleets.
+LOAD_DELAY_SECONDS = 0.004
+LARGE_FLEET_LOAD_DELAY_SECONDS = 0.25
 
 
 class LoadAnnouncer:
-    """Gathers changes until the next message.
+    """Collects changes of upstreams' loads and announces them together.
 
-    Most of what waits has been read before the message, so most of it is never told,
-    which spares narrow links in large fleets.
+    Most prompts are processed before the announcement is due and are omitted, which
+    saves bandwidth in large fleets.
 
     :param send: sends a message to all peers
-    :param is_large: tells whether the fleet is so large that news has to wait
+    :param is_large: returns whether the fleet is so large that the longer delay applies
     """
 
     def __init__(
@@ -37,31 +37,36 @@
         self._is_large = is_large
         self._parts: dict[str, list[str]] = {}
         self._counts: dict[str, Callable[[], int]] = {}
-        self._told: dict[str, int] = {}
+        self._announced: dict[str, int] = {}
 
     def announce(
         self, upstream: str, count: Callable[[], int], parts: Iterable[str]
     ) -> None:
-        """Tell all peers soon what waits at an upstream.
+        """Schedule an announcement of an upstream's load to all peers.
 
-        :param count: returns the prompt tokens that wait there then
-        :param parts: shared parts that it has read
+        :param count: returns the prompt tokens that wait at the upstream; called when
+            the announcement is sent
+        :param parts: shared parts that the upstream has processed
         """
         if not self._parts:
-            wait = SELDOM_LOADS_SECONDS if self._is_large() else LOADS_SECONDS
-            self._clock.callLater(wait, self._tell)
+            wait = (
+                LARGE_FLEET_LOAD_DELAY_SECONDS
+                if self._is_large()
+                else LOAD_DELAY_SECONDS
+            )
+            self._clock.callLater(wait, self._announce_changes)
         self._counts[upstream] = count
         self._parts.setdefault(upstream, []).extend(parts)
 
-    def _tell(self) -> None:
+    def _announce_changes(self) -> None:
         loads = []
         for upstream, parts in self._parts.items():
             tokens = self._counts[upstream]()
-            if parts or tokens != self._told.get(upstream, 0):
-                self._told[upstream] = tokens
+            if parts or tokens != self._announced.get(upstream, 0):
+                self._announced[upstream] = tokens
                 loads.append((upstream, tokens, parts))
             if not tokens:
-                self._told.pop(upstream, None)
+                self._announced.pop(upstream, None)
         self._parts.clear()
         self._counts.clear()
         if loads:
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/loandemands.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/loandemands.py
@@ -1,4 +1,4 @@
-"""Tokens that peers were asked for and have not answered yet."""
+"""Loan requests to peers that have not been answered yet."""
 
 from __future__ import annotations
 
@@ -17,17 +17,16 @@
     from pondquay_daemon.relay.peerlinks import PeerLink
     from pondquay_daemon.relay.peermessages import Loan
 
-# Seconds in which a loan comes over links in order: a few milliseconds, and as many
-# again at a busy lender. After it, a demand is overdue.
+# Time after which a request for a loan is overdue.
 LOAN_SECONDS = 0.04
 
 
 @dataclass(slots=True)
 class LoanDemand:
-    """Tokens of one workspace that a peer was asked for.
+    """A pending request to a peer for tokens of a workspace.
 
-    :param overdue_at: when waiting for the answer no longer helps, in seconds
-    :param response: fires with the tokens that came
+    :param overdue_at: time until which requests wait for the response, in seconds
+    :param response: fires with the number of tokens received
     """
 
     number: int
@@ -36,11 +35,10 @@
 
 
 class LoanDemands:
-    """The demands of one instance, one for a workspace and link at most.
+    """An instance's pending demands, at most one per link and workspace.
 
-    A lender cannot tell that nobody waits any more. With a demand a request, over a
-    network that is a second late it would lend for all demands of that second: all of a
-    workspace's tokens, to one instance.
+    A lender does not know that the borrower has timed out. With one demand for each
+    request, a slow link could transfer all tokens of a workspace to one instance.
     """
 
     def __init__(self, clock: IReactorTime) -> None:
@@ -51,10 +49,10 @@
     async def ask(
         self, link: PeerLink, workspace: str, tokens: int, headroom: int
     ) -> int:
-        """Ask for tokens; return how many came in time.
+        """Request tokens from a peer; return how many were received in time.
 
-        Who asks while a demand is under way waits for the same answer, or not at all if
-        that is overdue.
+        While a demand is pending, further calls wait for the same response, and return
+        0 at once if it is overdue.
         """
         now = self._clock.seconds()
         demand = self._demands.get((link, workspace))
@@ -67,14 +65,14 @@
             return 0
         return await wait_at_most(demand.response, seconds, self._clock, 0)
 
-    def end(self, link: PeerLink, loan: Loan) -> None:
-        """Take an answer; a loan that nobody asked for ends nothing."""
+    def complete(self, link: PeerLink, loan: Loan) -> None:
+        """Complete the demand that a loan answers, if there is one."""
         demand = self._demands.get((link, loan.workspace))
         if demand is not None and demand.number == loan.number:
             del self._demands[link, loan.workspace]
             demand.response.callback(loan.tokens)
 
-    def lose(self, link: PeerLink) -> None:
-        """End what was asked for on a link that is gone."""
-        for key in [one for one in self._demands if one[0] is link]:
+    def abandon(self, link: PeerLink) -> None:
+        """Complete all demands on a closed link, with no tokens."""
+        for key in [pair for pair in self._demands if pair[0] is link]:
             self._demands.pop(key).response.callback(0)
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/loans.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/loans.py
@@ -1,8 +1,8 @@
-"""Loans of tokens between instances: whom to ask, how much, and what goes back.
+"""Loans of tokens between instances: choice of lenders, amounts and returns.
 
-Instances that hold allotments lend to each other in need. In a larger fleet most hold
-none of a workspace; they borrow some seconds of their own demand from lenders of their
-domain, and return what they do not need.
+Instances that hold allotments lend to each other. In a larger fleet most instances hold
+no allotment of a workspace; they borrow some seconds of their demand from lenders in
+their domain and return the surplus.
 """
 
 from __future__ import annotations
@@ -24,43 +24,45 @@
     from pondquay.policy import RelayPolicy
 
 MAX_LENDERS = 8
-# Waits for a lender to get more from the table before it is asked again.
-ASK_AGAIN_WAITS = (0.03, 0.06)
+# Successive delays before lenders are asked again, in seconds, in which they may get
+# tokens from the table.
+LENDER_RETRY_WAITS = (0.03, 0.06)
 
 
 class Lender(ABC):
-    """Asks other instances for tokens."""
+    """Borrows tokens from other instances and transfers tokens to them."""
 
     @property
     @abstractmethod
     def peers(self) -> list[str]:
-        """Names of the instances that can be asked."""
+        """Names of the instances that can be reached."""
 
     @property
     @abstractmethod
     def domains(self) -> Mapping[str, str]:
-        """The domains of all known instances; never changed, only replaced."""
+        """The domains of all known instances; replaced, never mutated."""
 
     @abstractmethod
     async def borrow(
         self, peer: str, workspace: str, tokens: int, headroom: int = 0
     ) -> int:
-        """Ask for tokens; those that come are taken in before this returns.
+        """Request tokens; those received are credited before this returns.
 
-        :param headroom: what an instance without an allotment would like besides
+        :param headroom: tokens that an instance without an allotment requests beyond
+            its need
         """
 
     @abstractmethod
     def transfer(self, peer: str, workspace: str, tokens: int) -> None:
-        """Hand over tokens that were counted as spent here."""
+        """Send a peer tokens that this instance has counted as spent."""
 
 
 class Loans:
-    """The loans of one instance.
+    """Manages the loans of one instance.
 
-    :param lender: asks other instances
-    :param reachable: tells whether the table answered lately
-    :param knows_fleet: tells whether the list of instances was read
+    :param lender: communicates with other instances
+    :param reachable: returns whether the last call to the table succeeded
+    :param knows_fleet: returns whether the list of instances has been read
     """
 
     def __init__(
@@ -73,7 +75,7 @@
         policy: RelayPolicy,
     ) -> None:
         self._knows_fleet = knows_fleet
-        self._settled_at = 0.0
+        self._startup_ends_at = 0.0
         self._clock = clock
         self._policy = policy
         self._reachable = reachable
@@ -84,31 +86,34 @@
         self._co_lenders: frozenset[str] = frozenset()
         self._co_lenders_of: tuple[Mapping[str, str], int] | None = None
 
-    def settle_until(self, time: float) -> None:
-        """Wait for links, and for the list of instances, until a time in seconds."""
-        self._settled_at = time
+    def set_startup_end(self, time: float) -> None:
+        """Set the time until which links and the list of instances are awaited.
+
+        :param time: in seconds
+        """
+        self._startup_ends_at = time
 
     def lends(self, workspace: str) -> bool:
-        """Tell whether this instance is to hold an allotment of a workspace.
+        """Return whether this instance should hold an allotment of a workspace.
 
-        One that reaches none of the lenders holds its own, though not while it starts:
-        when a whole fleet starts anew, nobody has links yet, and the table does not
-        take a write of each instance for each workspace.
+        An instance without a link to any lender holds its own allotment, but not during
+        startup: when a whole fleet starts there are no links yet, and the table cannot
+        take writes of every instance for every workspace.
         """
-        settled = self._clock.seconds() >= self._settled_at
-        if not settled and not self._knows_fleet():
+        startup_ended = self._clock.seconds() >= self._startup_ends_at
+        if not startup_ended and not self._knows_fleet():
             return False
-        chosen = self._choose(workspace)
+        chosen = self._choose_lenders(workspace)
         if self._instance in chosen:
             return True
-        return settled and chosen.isdisjoint(self._lender.peers)
+        return startup_ended and chosen.isdisjoint(self._lender.peers)
 
     async def borrow(
         self, account: Account, workspace: str, tokens: int
     ) -> Refused | None:
-        """Borrow what lacks for a request and reserve it.
+        """Borrow the tokens that a request lacks and reserve them.
 
-        :returns: why not, ``None`` if it is reserved
+        :returns: the reason if they cannot be reserved, ``None`` otherwise
         """
         if not self._policy.borrow:
             return account.reserve(tokens)
@@ -118,85 +123,89 @@
             if lends
             else max(1, plan_borrowed_headroom(account, self._clock.seconds()))
         )
-        refused = await self._ask_all(account, workspace, tokens, headroom)
+        refused = await self._borrow_from_lenders(account, workspace, tokens, headroom)
         if lends and self._reachable():
             return refused
-        for wait in ASK_AGAIN_WAITS:
+        for wait in LENDER_RETRY_WAITS:
             if refused is None:
                 break
             await sleep(wait, self._clock)
-            refused = await self._ask_all(account, workspace, tokens, headroom)
+            refused = await self._borrow_from_lenders(
+                account, workspace, tokens, headroom
+            )
         return refused
 
     async def refill(self, account: Account, workspace: str, tokens: int) -> None:
-        """Borrow from other lenders what a borrower waits for here.
+        """Borrow from other lenders on behalf of a borrower.
 
-        A borrower reaches the lenders of its domain only, and these each other's.
+        Borrowers have links to lenders in their domain, lenders also to each other.
         """
-        for peer in self._rank(account, workspace):
-            lacking = tokens - account.unspent
-            if lacking <= 0:
+        for peer in self._rank_lenders(account, workspace):
+            missing = tokens - account.unspent
+            if missing <= 0:
                 return
-            await self._lender.borrow(peer, workspace, lacking)
+            await self._lender.borrow(peer, workspace, missing)
 
-    def lacks_ahead(self, account: Account) -> bool:
-        """Tell whether a borrower should have more before a request needs it."""
+    def needs_top_up(self, account: Account) -> bool:
+        """Return whether this instance should borrow before a request needs tokens."""
         return self._policy.borrow and plan_top_up(account, self._clock.seconds()) > 0
 
     async def top_up(self, account: Account, workspace: str) -> None:
-        """Borrow ahead, from the first lender that has some."""
-        for peer in self._rank(account, workspace):
-            lacking = plan_top_up(account, self._clock.seconds())
-            if lacking <= 0:
+        """Borrow headroom, from lenders in turn."""
+        for peer in self._rank_lenders(account, workspace):
+            missing = plan_top_up(account, self._clock.seconds())
+            if missing <= 0:
                 return
-            await self._lender.borrow(peer, workspace, 0, lacking)
+            await self._lender.borrow(peer, workspace, 0, missing)
 
     def co_lenders(self, workspaces: Collection[str]) -> frozenset[str]:
-        """Return the lenders of those workspaces for which this instance lends too."""
+        """Return the lenders of the workspaces for which this instance also lends."""
         known = self._lender.domains, len(workspaces)
         if self._co_lenders_of != known:
-            chosen = [self._choose(one) for one in workspaces]
-            shared = [one for one in chosen if self._instance in one]
+            chosen = [self._choose_lenders(workspace) for workspace in workspaces]
+            shared = [lenders for lenders in chosen if self._instance in lenders]
             self._co_lenders = frozenset().union(*shared) - {self._instance}
             self._co_lenders_of = known
         return self._co_lenders
 
     def return_surplus(self, workspace: str, account: Account) -> None:
-        """Hand back what is borrowed and not needed."""
+        """Return borrowed tokens that are not needed."""
         surplus = plan_return(account, self._clock.seconds())
         if surplus:
-            self._give(workspace, account, surplus)
+            self._transfer(workspace, account, surplus)
 
-    def give_away(self, workspace: str, account: Account) -> None:
-        """Hand all that is left to others, for a planned stop."""
-        self._give(workspace, account, account.unspent)
+    def transfer_all(self, workspace: str, account: Account) -> None:
+        """Transfer all unspent tokens to another instance, for a planned stop."""
+        self._transfer(workspace, account, account.unspent)
 
-    async def _ask_all(
+    async def _borrow_from_lenders(
         self, account: Account, workspace: str, tokens: int, headroom: int
     ) -> Refused | None:
         refused = account.reserve(tokens)
-        for peer in self._rank(account, workspace):
+        for peer in self._rank_lenders(account, workspace):
             if refused is None:
                 break
-            lacking = tokens - account.unspent
-            if lacking > 0:
-                await self._lender.borrow(peer, workspace, lacking, headroom)
+            missing = tokens - account.unspent
+            if missing > 0:
+                await self._lender.borrow(peer, workspace, missing, headroom)
             refused = account.reserve(tokens)
         return refused
 
-    def _give(self, workspace: str, account: Account, tokens: int) -> None:
-        ranked = self._rank(account, workspace) or self._lender.peers
+    def _transfer(self, workspace: str, account: Account, tokens: int) -> None:
+        ranked = self._rank_lenders(account, workspace) or self._lender.peers
         if not ranked:
             return
-        given = account.lend(tokens)
-        if given:
-            self._lender.transfer(ranked[0], workspace, given)
-            log_event("tokens-given", workspace=workspace, tokens=given, peer=ranked[0])
-
-    def _rank(self, account: Account, workspace: str) -> list[str]:
-        """Return lenders that can be asked: near ones, then those that have most."""
-        chosen = self._choose(workspace)
-        reachable = [one for one in self._lender.peers if one in chosen]
+        transferred = account.lend(tokens)
+        if transferred:
+            self._lender.transfer(ranked[0], workspace, transferred)
+            log_event(
+                "tokens-given", workspace=workspace, tokens=transferred, peer=ranked[0]
+            )
+
+    def _rank_lenders(self, account: Account, workspace: str) -> list[str]:
+        """Return reachable lenders: those nearby first, then by unspent tokens."""
+        chosen = self._choose_lenders(workspace)
+        reachable = [name for name in self._lender.peers if name in chosen]
         others = account.others()
         domains = self._lender.domains
         lends = self._instance in chosen
@@ -208,7 +217,7 @@
 
         return sorted(reachable, key=order, reverse=True)[:MAX_LENDERS]
 
-    def _choose(self, workspace: str) -> frozenset[str]:
+    def _choose_lenders(self, workspace: str) -> frozenset[str]:
         domains = self._lender.domains
         if domains is not self._domains:
             self._domains = domains
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/member.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/member.py
@@ -1,4 +1,4 @@
-"""Where an instance of the fleet is."""
+"""The location of an instance of the fleet."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """Where an instance is.
+    """An instance's address and failure domain.
 
-    :param address: where it accepts links
+    :param address: address at which it accepts links
     """
 
     address: Address
@@ -19,8 +19,8 @@
 
     @classmethod
     def parse(cls, address: str, domain: str) -> Member:
-        """Read the form in which it is sent.
+        """Create a member from an address as sent to peers.
 
-        :raises ValueError: if the address has another form
+        :raises ValueError: if the address is malformed
         """
         return cls(Address.parse(address), domain)
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/members.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/members.py
@@ -1,4 +1,4 @@
-"""The list of instances in the store, by which they find each other."""
+"""The list of instances in the store, used for peer discovery."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class MemberList(TableListener):
-    """Tells the links who the others are, and the others where this instance is."""
+    """Registers this instance in the list and adds the listed instances to the mesh."""
 
     def __init__(
         self, clock: IReactorTime, store: Store, mesh: PeerMesh, instance: str
@@ -41,35 +41,35 @@
         self._store = store
         self._mesh = mesh
         self._instance = instance
-        self._read = False
+        self._has_read = False
 
     @property
     def count(self) -> int:
-        """How many instances the list names, 0 before it was read."""
-        return len(self._mesh.domains) if self._read else 0
+        """The number of known instances, 0 before the list has been read."""
+        return len(self._mesh.domains) if self._has_read else 0
 
     def apply_snapshot(self, snapshot: Snapshot) -> None:
-        """Take in the list as a whole."""
-        self._read = True
+        """Apply a snapshot of the list."""
+        self._has_read = True
         for row in snapshot.rows:
-            self._learn(row.key, row.value)
+            self._add_to_mesh(row.key, row.value)
 
     def apply_change(self, change: RowChange) -> None:
-        """Take in one row."""
+        """Apply a change of one row."""
         if change.value is None:
-            self._mesh.forget(change.key)
+            self._mesh.remove_member(change.key)
         else:
-            self._learn(change.key, change.value)
+            self._add_to_mesh(change.key, change.value)
 
     async def join(self, member: Member) -> None:
-        """Write this instance's row, until it stands."""
+        """Write this instance's row, retrying until it is stored."""
         value = {"address": str(member.address), "domain": member.domain}
         while not await self._write(value):
             await sleep(RETRY_SECONDS, self._clock)
         log_event("joined", instance=self._instance, address=member.address)
 
     async def leave(self) -> None:
-        """Delete this instance's row, if the store can be reached."""
+        """Delete this instance's row, if the store is reachable."""
         await self._write(None)
 
     async def _write(self, value: JsonObject | None) -> bool:
@@ -85,16 +85,16 @@
         )
         return isinstance(await self._store.commit(transaction), Committed)
 
-    def _learn(self, instance: str, value: JsonObject) -> None:
+    def _add_to_mesh(self, instance: str, value: JsonObject) -> None:
         if instance == self._instance:
             return
         try:
             member = read_member(value)
         except MalformedValueError as error:
             log_event("member-malformed", Level.ERROR, instance=instance, error=error)
-            self._mesh.forget(instance)
+            self._mesh.remove_member(instance)
             return
-        self._mesh.learn(instance, member)
+        self._mesh.add_member(instance, member)
 
 
 class _MemberDocument(msgspec.Struct, frozen=True):
@@ -105,9 +105,9 @@
 
 
 def read_member(value: JsonObject) -> Member:
-    """Return where an instance is.
+    """Return the instance's address and domain from its row.
 
-    :raises MalformedValueError: if the row does not say it
+    :raises MalformedValueError: if the row is malformed
     """
     try:
         document = msgspec.convert(value, _MemberDocument)
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/peerdispatcher.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/peerdispatcher.py
@@ -1,4 +1,4 @@
-"""What peers ask of this instance and tell it, handed to the parts that it concerns."""
+"""Dispatch of peers' requests and announcements to the components of a relay."""
 
 from __future__ import annotations
 
@@ -18,20 +18,20 @@
     from pondquay_daemon.relay.feeds import TableFeed
     from pondquay_daemon.relay.knowledge import ConfigurationView
 
-# Where news came from, for the logs.
+# Sources of announcements, for the logs.
 FROM_PEER = "peer"
 FROM_STORE = "store"
-# Contents that are told on a new link, so that a start does not fill links. Later
-# reports of the others make up for what is not told.
-MAX_BLOCKED_TOLD = 64
-MAX_SUSPECTED_TOLD = 64
+# Reports that are sent on a new link, limited so that starting instances do not
+# saturate links; reports on other contents arrive as they change.
+MAX_ANNOUNCED_BLOCKED = 64
+MAX_ANNOUNCED_SUSPECTED = 64
 
 
 class PeerDispatcher(PeerListener):
-    """Hands messages of peers to the parts of a relay.
+    """Dispatches messages of peers to the components of a relay.
 
-    The links are made before most parts, which tell peers through them; no link opens
-    before the parts are connected.
+    The mesh is created before most components, since they send messages through it.
+    ``connect`` has to be called before the first link opens.
     """
 
     _feed: TableFeed
@@ -51,7 +51,7 @@
         evacuations: EvacuationView,
         crashes: CrashMonitor,
     ) -> None:
-        """Take the parts that messages are for."""
+        """Set the components to which messages are dispatched."""
         self._feed = feed
         self._configuration = configuration
         self._accounts = accounts
@@ -59,41 +59,41 @@
         self._crashes = crashes
 
     def configuration_version(self) -> int:
-        """Return the version in force here, 0 if there is none."""
+        """Return the version of the configuration in force here, 0 if there is none."""
         return self._configuration.version
 
     def store_reachable(self) -> bool:
-        """Tell whether the store serves this instance."""
+        """Return whether this instance can reach the store."""
         return self._feed.reachable
 
     def configuration_value(self) -> dict[str, Any] | None:
-        """Return the configuration as the operators wrote it."""
+        """Return the configuration as operators wrote it, ``None`` if unknown."""
         value = self._configuration.value
         return None if value is None else dict(value)
 
     def offer_configuration(self, value: dict[str, Any]) -> None:
-        """Take in a configuration that a peer has."""
+        """Apply a peer's configuration if it is newer."""
         self._configuration.offer(value)
 
     def receive_load(
         self, instance: str, upstream: str, tokens: int, parts: list[str]
     ) -> None:
-        """Take in what a peer has waiting at an upstream."""
+        """Record a peer's prompt tokens that wait at an upstream."""
         known = self._directory.find(upstream)
         if known is not None:
             known.prompts.receive(instance, tokens)
             known.prompts.note_prefilled(parts)
 
     def forget_loads(self, instance: str) -> None:
-        """Take in that a peer cannot be heard."""
+        """Discard the loads of a peer that is unreachable."""
         self._directory.forget_instance(instance)
 
     def departures(self) -> list[Departure]:
-        """Return what is known here of upstreams that leave."""
+        """Return the known departures of upstreams, the newest last."""
         return self._directory.departures()
 
     def receive_departure(self, departure: Departure) -> None:
-        """Take in that a peer knows of an upstream's leaving."""
+        """Record and log a departure that a peer reports."""
         if self._directory.receive(departure):
             log_event(
                 "upstream-leaves",
@@ -103,33 +103,33 @@
             )
 
     def evacuations(self) -> list[Evacuation]:
-        """Return what is known here of emptied domains."""
+        """Return the latest change of each domain that was ever evacuated."""
         return self._directory.evacuations.news()
 
-    def receive_evacuation(self, news: Evacuation) -> None:
-        """Take in a peer's news of an emptied domain."""
-        self._evacuations.receive(news)
+    def receive_evacuation(self, evacuation: Evacuation) -> None:
+        """Record a change of a domain that a peer reports."""
+        self._evacuations.receive(evacuation)
 
     def crash_reports(self) -> list[CrashReport]:
-        """Return what is known here of contents under which upstreams crashed."""
+        """Return the reports on crashes to send on a new link."""
         history = self._crashes.history
-        blocked = history.blocked()[:MAX_BLOCKED_TOLD]
-        return blocked + history.suspected()[:MAX_SUSPECTED_TOLD]
+        blocked = history.blocked()[:MAX_ANNOUNCED_BLOCKED]
+        return blocked + history.suspected()[:MAX_ANNOUNCED_SUSPECTED]
 
     def receive_crash(self, report: CrashReport) -> None:
-        """Take in what a peer knows of such a content."""
+        """Merge a peer's report on crashes."""
         self._crashes.receive(report, FROM_PEER)
 
     def lend(self, workspace: str, tokens: int, headroom: int) -> int:
-        """Hand tokens to a peer."""
+        """Lend tokens to a peer; return how many."""
         return self._accounts.lend(workspace, tokens, headroom)
 
     def co_lenders(self) -> frozenset[str]:
-        """Return the instances that lend for the same workspaces as this one."""
+        """Return the instances that lend for the same workspaces as this instance."""
         return self._accounts.co_lenders()
 
     def receive_loan(
         self, workspace: str, tokens: int, *, returned: bool = False
     ) -> None:
-        """Take tokens from a peer."""
+        """Credit tokens that a peer has transferred."""
         self._accounts.receive_loan(workspace, tokens, returned=returned)
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/peerlinks.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/peerlinks.py
@@ -1,4 +1,4 @@
-"""Connections between instances, each a stream of messages."""
+"""Connections between instances that carry streams of messages."""
 
 from __future__ import annotations
 
@@ -25,30 +25,32 @@
 
 
 class LinkOwner(ABC):
-    """What owns the links of an instance."""
+    """Handles the events of an instance's links."""
 
     @abstractmethod
     def greet(self, link: PeerLink) -> None:
-        """Send the first message on a link."""
+        """Send the first messages on a new link."""
 
     @abstractmethod
     def receive(self, link: PeerLink, message: PeerMessage) -> None:
-        """Act on a message."""
+        """Process a message."""
 
     @abstractmethod
-    def lose(self, link: PeerLink) -> None:
-        """Forget a link."""
+    def note_disconnected(self, link: PeerLink) -> None:
+        """Remove a link that was closed."""
 
     @abstractmethod
     def end_connecting(self, address: Address) -> None:
-        """Learn that a link to an address failed or is gone."""
+        """Record that a link to an address failed or was closed."""
 
 
 class PeerLink(Protocol):
-    """A connection to another instance; both ends are alike.
+    """A connection to another instance; both ends behave alike.
 
-    :ivar has_sent: whether anything was sent since its owner last looked
-    :ivar understood: codes of the messages that the peer reads, as far as it has said
+    :ivar last_seen_at: time of the last message from the peer, in seconds
+    :ivar has_sent: whether anything was sent since the last heartbeat interval
+    :ivar supported_codes: codes of the messages that the peer has declared to support
+    :ivar version: version of the configuration in force at the peer
     """
 
     def __init__(self, owner: LinkOwner) -> None:
@@ -57,17 +59,16 @@
         self.instance = ""
         self.last_seen_at = 0.0
         self.has_sent = False
-        self.understood: frozenset[int] = frozenset()
-        # The configuration in force at the peer, as it last said.
+        self.supported_codes: frozenset[int] = frozenset()
         self.version = 0
 
     def connectionMade(self) -> None:
-        """Greet the peer."""
+        """Send the greeting to the peer."""
         cast("Connection", self.transport).setTcpNoDelay(True)
         self._owner.greet(self)
 
     def dataReceived(self, data: bytes) -> None:
-        """Take bytes of messages."""
+        """Process received bytes; close the link if they are malformed."""
         try:
             messages = self._reader.feed(data)
         except MalformedValueError as error:
@@ -78,32 +79,32 @@
             self._owner.receive(self, message)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """Learn that the link is gone."""
-        self._owner.lose(self)
+        """Notify the owner that the link was closed."""
+        self._owner.note_disconnected(self)
 
-    def reads(self, kind: type[PeerMessage]) -> bool:
-        """Tell whether the peer has said that it reads messages of a kind."""
-        return kind.CODE in self.understood
+    def supports(self, kind: type[PeerMessage]) -> bool:
+        """Return whether the peer has declared support for a kind of message."""
+        return kind.CODE in self.supported_codes
 
     def send(self, message: PeerMessage) -> None:
-        """Send a message, also in its former form to who may read that alone."""
+        """Send a message, also in its earlier form if the peer may need that."""
         self.send_bytes(encode_message(message))
-        former = make_earlier_form(message)
-        if former is not None and not self.reads(type(message)):
-            self.send_bytes(encode_message(former))
+        earlier = make_earlier_form(message)
+        if earlier is not None and not self.supports(type(message)):
+            self.send_bytes(encode_message(earlier))
 
     def send_bytes(self, data: bytes) -> None:
-        """Send messages that are encoded already."""
+        """Send messages that are already encoded."""
         self.has_sent = True
         cast("Connection", self.transport).write(data)
 
     def drop(self) -> None:
-        """Close the link at once."""
+        """Abort the connection."""
         cast("Connection", self.transport).abortConnection()
 
 
 class LinkListener(Factory):
-    """Accepts links."""
+    """Accepts links from other instances."""
 
     noisy = False
 
@@ -116,7 +117,7 @@
 
 
 class LinkConnector(ClientFactory):
-    """Opens one link."""
+    """Opens a link to an address."""
 
     noisy = False
 
@@ -129,9 +130,9 @@
         return PeerLink(self._owner)
 
     def clientConnectionLost(self, connector: Any, reason: Failure) -> None:
-        """Learn that the link is gone."""
+        """Notify the owner that the link was closed."""
         self._owner.end_connecting(self._address)
 
     def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:
-        """Learn that there will be no link."""
+        """Notify the owner that the connection attempt failed."""
         self._owner.end_connecting(self._address)
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/peerlistener.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/peerlistener.py
@@ -1,4 +1,4 @@
-"""What instances offer to each other."""
+"""The interface through which peers access an instance's state."""
 
 from __future__ import annotations
 
@@ -12,77 +12,79 @@
 
 
 class PeerListener(ABC):
-    """What the rest of the relay offers to its peers."""
+    """Answers and processes the messages of peers."""
 
     @abstractmethod
     def configuration_version(self) -> int:
-        """Return the version in force here, 0 if there is none."""
+        """Return the version of the configuration in force here, 0 if there is none."""
 
     @abstractmethod
     def store_reachable(self) -> bool:
-        """Tell whether the store serves this instance."""
+        """Return whether this instance can reach the store."""
 
     @abstractmethod
     def configuration_value(self) -> dict[str, Any] | None:
-        """Return the configuration as the operators wrote it."""
+        """Return the configuration as operators wrote it, ``None`` if unknown."""
 
     @abstractmethod
     def offer_configuration(self, value: dict[str, Any]) -> None:
-        """Take in a configuration that may be newer."""
+        """Apply a peer's configuration if it is newer."""
 
     @abstractmethod
     def receive_load(
         self, instance: str, upstream: str, tokens: int, parts: list[str]
     ) -> None:
-        """Take in what a peer has waiting at an upstream.
+        """Record a peer's prompt tokens that wait at an upstream.
 
-        :param parts: shared parts that the upstream has read
+        :param parts: shared parts that the upstream has processed
         """
 
     @abstractmethod
     def forget_loads(self, instance: str) -> None:
-        """Take in that a peer cannot be heard."""
+        """Discard the loads of a peer that is unreachable."""
 
     @abstractmethod
     def departures(self) -> list[Departure]:
-        """Return what is known of upstreams that leave, the newest last."""
+        """Return the known departures of upstreams, the newest last."""
 
     @abstractmethod
     def receive_departure(self, departure: Departure) -> None:
-        """Take in that an upstream leaves."""
+        """Record that an upstream leaves."""
 
     @abstractmethod
     def evacuations(self) -> list[Evacuation]:
-        """Return the newest news of each domain that was ever emptied."""
+        """Return the latest change of each domain that was ever evacuated."""
 
     @abstractmethod
-    def receive_evacuation(self, news: Evacuation) -> None:
-        """Take in that a domain is emptied or was taken back."""
+    def receive_evacuation(self, evacuation: Evacuation) -> None:
+        """Record that a domain was evacuated or restored."""
 
     @abstractmethod
     def crash_reports(self) -> list[CrashReport]:
-        """Return what is worth telling of contents under which upstreams crashed."""
+        """Return the reports on crashes to send on a new link."""
 
     @abstractmethod
     def receive_crash(self, report: CrashReport) -> None:
-        """Take in what is known elsewhere of such a content."""
+        """Merge a peer's report on crashes."""
 
     @abstractmethod
     def lend(self, workspace: str, tokens: int, headroom: int) -> int:
-        """Count tokens as spent here and return how many, 0 if none can be spared.
+        """Count tokens as spent here, so that a peer may spend them.
 
-        :param headroom: tokens that are wanted besides, 0 from those with an allotment
+        :param headroom: tokens that the peer requests beyond its need; 0 if it holds
+            an allotment
+        :returns: the number of tokens, 0 if there are none to lend
         """
 
     @abstractmethod
     def receive_loan(
         self, workspace: str, tokens: int, *, returned: bool = False
     ) -> None:
-        """Take tokens that a peer has counted as spent.
+        """Credit tokens that a peer has counted as spent.
 
-        :param returned: whether it hands them back unasked
+        :param returned: whether the peer transfers them without a request
         """
 
     @abstractmethod
     def co_lenders(self) -> frozenset[str]:
-        """Return the instances to which a link is worth most, wherever they are."""
+        """Return the instances that lend for the same workspaces as this instance."""
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/peermessages.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/peermessages.py
@@ -1,10 +1,10 @@
-"""What instances say to each other, as msgpack arrays that begin with a code.
+"""Messages between instances: msgpack arrays that begin with a code.
 
-Instances of different builds run side by side. A message of a kind that is not known
-here is passed over, and so are fields beyond those that are known. A field that is
-added to a kind comes last and has a default. A kind whose form changes gets a new code,
-and is said in its former form too, to peers that do not read the new one. What lacks
-the form of its kind ends its link. ``docs/design/changing.md`` has the rules.
+Instances of different builds run side by side. Unknown kinds of messages and unknown
+trailing fields are ignored. A new field is added at the end and has a default. A kind
+whose form changes gets a new code and is also sent in its earlier form to peers that do
+not support the new one. A malformed message closes the link. See
+``docs/design/changing.md`` for the rules.
 """
 
 from __future__ import annotations
@@ -28,23 +28,24 @@
     from collections.abc import Iterable
 
 MAX_MESSAGE_BYTES = 16 << 20
-# The fastest; routes are so much alike that a better one gains little.
+# The fastest level, since configurations are repetitive and compress well.
 COMPRESSION_LEVEL = 1
-# No number of tokens or version comes near this, and sums of it stay exact.
+# Limit of numbers of tokens and of versions; floats represent integers up to it.
 MAX_NUMBER = 1 << 53
-# Upstreams that a report of one content names; a peer keeps no more itself.
+# Upstreams in the report of one content.
 MAX_CRASHED = 64
-# Permits that are asked for at once at most.
+# Permits in one request.
 MAX_PERMITS = 1000
-# Number of a loan that nobody asked for; requests are numbered from 1.
+# Number of an unsolicited loan; requests are numbered from 1.
 UNSOLICITED = 0
 
 Count = Annotated[int, Meta(ge=0, le=MAX_NUMBER)]
 Content = Annotated[bytes, Meta(min_length=CONTENT_BYTES, max_length=CONTENT_BYTES)]
+# Incarnations of upstreams; the kept forms of messages contain this name.
 Lives = Annotated[list[str], Meta(max_length=MAX_CRASHED)]
-# Seconds since something happened.
+# Seconds since an event.
 Age = Annotated[float, Meta(ge=0, le=MAX_NUMBER)]
-# Requests or permits a second.
+# Requests or permits per second.
 Rate = Annotated[float, Meta(ge=0, le=MAX_NUMBER)]
 PermitCount = Annotated[int, Meta(ge=0, le=MAX_PERMITS)]
 Ages = Annotated[dict[str, Age], Meta(max_length=MAX_CRASHED)]
@@ -52,9 +53,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Hello:
-    """The first message on a link.
+    """Introduces the sender; the first message on a link.
 
-    :param members: address and domain of the instances that are known, by name
+    :param members: address and domain of each known instance, by name
     """
 
     CODE: ClassVar[int] = 1
@@ -64,9 +65,9 @@
 
 @dataclass(frozen=True, slots=True)
 class SupportedMessages:
-    """Names the kinds of messages that the sender reads.
+    """Lists the codes of the messages that the sender supports.
 
-    It follows the first message on a link; builds that do not know it never send it.
+    It follows the first message on a link. Some older builds do not send it.
     """
 
     CODE: ClassVar[int] = 17
@@ -75,7 +76,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """Says that the sender lives, and which configuration it has."""
+    """Keeps the link alive and announces the sender's configuration version."""
 
     CODE: ClassVar[int] = 2
     version: Count
@@ -83,17 +84,16 @@
 
 @dataclass(frozen=True, slots=True)
 class FetchConfiguration:
-    """Asks for the configuration."""
+    """Requests the configuration."""
 
     CODE: ClassVar[int] = 3
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationValue:
-    """The configuration as the operators wrote it.
+    """The configuration as operators wrote it.
 
-    :param packed: its value, packed and compressed: many routes are much alike, and
-        links are narrow
+    :param packed: its value as compressed msgpack
     """
 
     CODE: ClassVar[int] = 4
@@ -108,7 +108,7 @@
     def unpack(self) -> dict[str, Any]:
         """Return the value.
 
-        :raises MalformedValueError: if the bytes hold none
+        :raises MalformedValueError: if the bytes cannot be decoded
         """
         try:
             value: dict[str, Any] = msgpack.unpackb(zlib.decompress(self.packed))
@@ -119,10 +119,10 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamDepartures:
-    """Names upstreams that leave or have left.
+    """Announces upstreams that leave or have left.
 
-    :param departures: for each its name, the version at which its row was gone or
-        ``None`` if it said so itself, and what tells its life
+    :param departures: for each the name, the version at which its row was removed or
+        ``None`` if the upstream announced it itself, and the incarnation's start time
     """
 
     CODE: ClassVar[int] = 12
@@ -131,7 +131,12 @@
     @classmethod
     def pack(cls, departures: Iterable[Departure]) -> UpstreamDepartures:
         """Return the message for some departures."""
-        return cls([(one.name, one.version, one.born) for one in departures])
+        return cls(
+            [
+                (departure.name, departure.version, departure.born)
+                for departure in departures
+            ]
+        )
 
     def unpack(self) -> list[Departure]:
         """Return the departures."""
@@ -140,31 +145,36 @@
 
 @dataclass(frozen=True, slots=True)
 class DomainEvacuations:
-    """Names domains that are emptied or were taken back.
+    """Announces domains that were evacuated or restored.
 
-    :param evacuations: for each its name, the version of the news, and whether it is
-        emptied
+    :param evacuations: for each the name, the version of the change, and whether the
+        domain is evacuated
     """
 
     CODE: ClassVar[int] = 10
     evacuations: list[tuple[str, Count, bool]]
 
     @classmethod
-    def pack(cls, news: Iterable[Evacuation]) -> DomainEvacuations:
-        """Return the message for some news."""
-        return cls([(one.domain, one.version, one.evacuated) for one in news])
+    def pack(cls, evacuations: Iterable[Evacuation]) -> DomainEvacuations:
+        """Return the message for some changes."""
+        return cls(
+            [
+                (evacuation.domain, evacuation.version, evacuation.evacuated)
+                for evacuation in evacuations
+            ]
+        )
 
     def unpack(self) -> list[Evacuation]:
-        """Return the news."""
+        """Return the changes."""
         return [Evacuation(*fields) for fields in self.evacuations]
 
 
 @dataclass(frozen=True, slots=True)
 class UpstreamCrashes:
-    """Names contents under which upstreams crashed.
+    """Reports contents under which upstreams crashed.
 
-    :param crashes: for each its digest, the upstreams that crashed with the seconds
-        since, those that it was cleared of, and how often it was tried again
+    :param crashes: for each the digest, the crashed upstreams with the seconds since
+        the crash, those that the content was cleared of, and the number of trials
     """
 
     CODE: ClassVar[int] = 13
@@ -176,15 +186,15 @@
         return cls(
             [
                 (
-                    one.content,
+                    report.content,
                     {
-                        incarnation: one.age(incarnation)
-                        for incarnation in sorted(one.crashed)
+                        incarnation: report.age(incarnation)
+                        for incarnation in sorted(report.crashed)
                     },
-                    sorted(one.cleared),
-                    one.trials,
+                    sorted(report.cleared),
+                    report.trials,
                 )
-                for one in reports
+                for report in reports
             ]
         )
 
@@ -198,13 +208,13 @@
 
 @dataclass(frozen=True, slots=True)
 class UndatedCrashes:
-    """The former form of ``UpstreamCrashes``, without the ages."""
+    """The earlier form of ``UpstreamCrashes``, without ages."""
 
     CODE: ClassVar[int] = 11
     crashes: list[tuple[Content, Lives, Lives, Count]]
 
     def unpack(self) -> list[CrashReport]:
-        """Return the reports, as if the upstreams had just crashed."""
+        """Return the reports, assuming that the upstreams have just crashed."""
         return [
             CrashReport(content, frozenset(crashed), frozenset(cleared), trials)
             for content, crashed, cleared, trials in self.crashes
@@ -213,9 +223,9 @@
 
 @dataclass(frozen=True, slots=True)
 class LoanRequest:
-    """Asks for tokens of a workspace.
+    """Requests tokens of a workspace.
 
-    :param ahead: tokens that an instance without an allotment would like besides
+    :param ahead: tokens that an instance without an allotment requests beyond its need
     """
 
     CODE: ClassVar[int] = 6
@@ -227,10 +237,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Loan:
-    """Hands tokens over; the sender has counted them as spent.
+    """Transfers tokens that the sender has counted as spent.
 
-    :param number: of the request for them, ``UNSOLICITED`` for what is handed back
-    :param tokens: 0 if it has none to spare
+    :param number: number of the request, ``UNSOLICITED`` for returned tokens
+    :param tokens: number of tokens, 0 if the sender has none to lend
     """
 
     CODE: ClassVar[int] = 7
@@ -241,10 +251,10 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamLoads:
-    """Says what the sender has waiting at upstreams.
+    """Announces the sender's load at upstreams.
 
-    :param loads: upstream, prompt tokens that it has not read yet, and shared parts
-        that it has read since the last message
+    :param loads: for each the upstream, the prompt tokens that wait there, and the
+        shared parts that it has processed since the last message
     """
 
     CODE: ClassVar[int] = 8
@@ -253,10 +263,10 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamLimits:
-    """Says what upstreams take from all instances together, as they last said.
+    """Announces the rate limits of upstreams for all instances together.
 
-    :param limits: for each its name, the requests a second, ``None`` for no limit, and
-        the seconds since it said so
+    :param limits: for each the name, the requests per second, ``None`` for no limit,
+        and the seconds since the upstream reported it
     """
 
     CODE: ClassVar[int] = 14
@@ -265,12 +275,12 @@
 
 @dataclass(frozen=True, slots=True)
 class PermitRequest:
-    """Asks for permits to send to a limited upstream.
+    """Requests permits to send to a limited upstream.
 
-    :param asker: the instance that will use them
-    :param hops: instances that have passed the request on
-    :param rate: what the upstream takes, as the sender knows it
-    :param age: seconds since the upstream said so
+    :param asker: the instance that will use the permits
+    :param hops: number of times that the request has been sent
+    :param rate: the upstream's limit as known to the sender, in requests per second
+    :param age: seconds since the upstream reported the limit
     """
 
     CODE: ClassVar[int] = 15
@@ -287,10 +297,10 @@
 class PermitGrant:
     """Answers a request for permits.
 
-    :param seconds: for which the permits may be used, counted from the request
-    :param pause: seconds after which more may be asked for
-    :param rate: what the upstream takes, as the sender knows it
-    :param age: seconds since the upstream said so, ``None`` if it never did
+    :param seconds: validity of the permits, counted from the request
+    :param pause: seconds after which more permits may be requested
+    :param rate: the upstream's limit as known to the sender, in requests per second
+    :param age: seconds since the upstream reported the limit, ``None`` if it never did
     """
 
     CODE: ClassVar[int] = 16
@@ -320,8 +330,8 @@
     | PermitGrant
 )
 MESSAGE_TYPES: dict[int, type[PeerMessage]] = {
-    one.CODE: one
-    for one in (
+    kind.CODE: kind
+    for kind in (
         Hello,
         SupportedMessages,
         Heartbeat,
@@ -342,15 +352,15 @@
 
 
 def encode_message(message: PeerMessage) -> bytes:
-    """Return a message's bytes."""
+    """Return the encoded message."""
     packed: bytes = msgpack.packb([message.CODE, *astuple(message)])
     return packed
 
 
 def make_earlier_form(message: PeerMessage) -> PeerMessage | None:
-    """Return what is said to peers that do not read a message's kind.
+    """Return a message in the form for peers that do not support its kind.
 
-    :returns: the former form of its kind, ``None`` if there is none
+    :returns: the earlier form, ``None`` if there is none
     """
     if not isinstance(message, UpstreamCrashes):
         return None
@@ -363,19 +373,19 @@
 
 
 class MessageReader:
-    """Reads messages from a stream of bytes."""
+    """Decodes messages from a stream of bytes."""
 
     def __init__(self) -> None:
         self._unpacker = msgpack.Unpacker(max_buffer_size=MAX_MESSAGE_BYTES)
 
     def feed(self, data: bytes) -> list[PeerMessage]:
-        """Return the messages that are whole now.
+        """Return the messages that are complete after adding some bytes.
 
-        :raises MalformedValueError: if the bytes are no message
+        :raises MalformedValueError: if the bytes are malformed
         """
         try:
             self._unpacker.feed(data)
-            read = [_read_message(one) for one in self._unpacker]
+            read = [_read_message(fields) for fields in self._unpacker]
         except (
             msgpack.UnpackException,
             msgspec.ValidationError,
@@ -384,13 +394,13 @@
             TypeError,
         ) as error:
             raise MalformedValueError(f"peer message: {error!r}") from error
-        return [one for one in read if one is not None]
+        return [message for message in read if message is not None]
 
 
 def _read_message(fields: Any) -> PeerMessage | None:
-    """Return a message, ``None`` for one of a kind that came up later.
+    """Return a message, ``None`` if its code is unknown.
 
-    :raises MalformedValueError: if it is none of its kind
+    :raises MalformedValueError: if it is malformed
     """
     if not isinstance(fields, list) or not fields or not isinstance(fields[0], int):
         raise MalformedValueError("peer message: has no code")
@@ -398,5 +408,5 @@
     message_type = MESSAGE_TYPES.get(code)
     if message_type is None:
         return None
-    names = [one.name for one in dataclass_fields(message_type)]
+    names = [field.name for field in dataclass_fields(message_type)]
     return msgspec.convert(dict(zip(names, values, strict=False)), message_type)
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/peers.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/peers.py
@@ -1,7 +1,7 @@
-"""Links between instances: configuration, leaving upstreams, and loans of tokens.
+"""The mesh of links between instances.
 
-An instance that the store does not serve learns through them what the others know, and
-tokens that one instance holds and another needs go over without the store.
+Links carry the configuration, announcements and loans of tokens, so that instances can
+exchange them while the store is unreachable.
 """
 
 from __future__ import annotations
@@ -55,18 +55,17 @@
     from pondquay_daemon.relay.peermessages import PeerMessage
     from pondquay_daemon.relay.peertopics import PeerTopic
 
-SILENT_SECONDS = 2.0
+LINK_TIMEOUT_SECONDS = 2.0
 CONNECT_SECONDS = 0.5
-# Departures that are told on a new link, the newest. Those before are long gone, and
-# the platform's list has lost them for everyone.
-MAX_TOLD = 256
+# Latest departures that are sent on a new link.
+MAX_ANNOUNCED_DEPARTURES = 256
 
 
 class PeerMesh(Task, Lender, LinkOwner):
-    """All links of one instance.
+    """Opens and accepts the links of an instance and processes their messages.
 
-    :param member: where this instance is
-    :param seeds: addresses of some others
+    :param member: address and domain of this instance
+    :param seeds: addresses of other instances to contact while there are no links
     """
 
     def __init__(
@@ -84,39 +83,39 @@
         self._listener = listener
         self._members: dict[str, Member] = {instance: member}
         self._domains: dict[str, str] = {instance: member.domain}
-        self._seeds = [one for one in seeds if one != member.address]
+        self._seeds = [address for address in seeds if address != member.address]
         self._links: dict[str, PeerLink] = {}
-        self._all: set[PeerLink] = set()
+        self._all_links: set[PeerLink] = set()
         self._connecting: set[Address] = set()
         self._plan = LinkPlan(self.clock, instance, member.domain)
         self._demands = LoanDemands(self.clock)
-        self._load_news = LoadAnnouncer(
+        self._load_announcer = LoadAnnouncer(
             self.clock, self._send_all, lambda: len(self._links) > MAX_FAR_LINKS
         )
-        self._fetch = ConfigurationFetch(self.clock, listener, self._all)
+        self._fetch = ConfigurationFetch(self.clock, listener, self._all_links)
         self._topics: list[PeerTopic] = []
-        self._topic_of: dict[type[PeerMessage], PeerTopic] = {}
+        self._topics_by_message: dict[type[PeerMessage], PeerTopic] = {}
 
     def add_topic(self, topic: PeerTopic) -> None:
-        """Have a matter's messages handed to it; before the first link."""
+        """Register the handler of a topic's messages; before the first link."""
         self._topics.append(topic)
-        self._topic_of.update(dict.fromkeys(topic.MESSAGES, topic))
+        self._topics_by_message.update(dict.fromkeys(topic.MESSAGES, topic))
 
     def start(self) -> None:
-        """Accept and open links."""
+        """Start accepting and opening links."""
         self._reactor.listenTCP(
             self._address.port, LinkListener(self), 64, self._address.host
         )
-        self.repeat(HEARTBEAT_SECONDS, self._beat)
+        self.repeat(HEARTBEAT_SECONDS, self._send_heartbeats)
 
-    def learn(self, instance: str, member: Member) -> None:
-        """Take in where an instance is."""
+    def add_member(self, instance: str, member: Member) -> None:
+        """Add or update an instance's address and domain."""
         self._members[instance] = member
         if self._domains.get(instance) != member.domain:
             self._domains = {**self._domains, instance: member.domain}
 
-    def forget(self, instance: str) -> None:
-        """Take in that an instance is gone."""
+    def remove_member(self, instance: str) -> None:
+        """Remove an instance that is no longer listed."""
         if instance != self._instance:
             self._members.pop(instance, None)
             self._plan.forget(instance)
@@ -128,73 +127,79 @@
 
     @property
     def peers(self) -> list[str]:
-        """Names of the instances to which a link is open."""
+        """Names of the instances to which there is a link."""
         return list(self._links)
 
     @property
     def domains(self) -> Mapping[str, str]:
-        """The domains of all known instances; never changed, only replaced."""
+        """The domains of all known instances; replaced, never mutated."""
         return self._domains
 
     def find_link(self, peer: str) -> PeerLink | None:
         """Return the link to a peer, ``None`` if there is none."""
         return self._links.get(peer)
 
-    def tell_all(self, message: PeerMessage) -> None:
+    def broadcast(self, message: PeerMessage) -> None:
         """Send a message to all peers."""
         self._send_all(message)
 
     def announce_version(self) -> None:
-        """Tell all peers which configuration is in force here."""
+        """Announce the version of the configuration in force to all peers."""
         self._send_all(Heartbeat(self._listener.configuration_version()))
 
     def announce_departure(self, departure: Departure) -> None:
-        """Tell all peers that an upstream leaves."""
+        """Announce to all peers that an upstream leaves."""
         self._send_all(UpstreamDepartures.pack([departure]))
 
-    def announce_evacuation(self, news: Evacuation) -> None:
-        """Tell all peers that a domain is emptied or was taken back."""
-        self._send_all(DomainEvacuations.pack([news]))
+    def announce_evacuation(self, evacuation: Evacuation) -> None:
+        """Announce to all peers that a domain was evacuated or restored."""
+        self._send_all(DomainEvacuations.pack([evacuation]))
 
     def announce_crashes(self, reports: Iterable[CrashReport]) -> None:
-        """Tell all peers of contents under which upstreams crashed."""
+        """Announce reports on crashes to all peers."""
         self._send_all(UpstreamCrashes.pack(reports))
 
     def announce_load(
         self, upstream: str, count: Callable[[], int], parts: Iterable[str]
     ) -> None:
-        """Tell all peers soon what waits at an upstream.
+        """Schedule an announcement of an upstream's load to all peers.
 
-        :param count: returns the prompt tokens that wait there then
+        :param count: returns the prompt tokens that wait at the upstream
+        :param parts: shared parts that the upstream has processed
         """
-        self._load_news.announce(upstream, count, parts)
+        self._load_announcer.announce(upstream, count, parts)
 
     async def borrow(
         self, peer: str, workspace: str, tokens: int, headroom: int = 0
     ) -> int:
-        """Ask a peer for tokens; return how many came in time."""
+        """Request tokens from a peer; return how many were received in time."""
         link = self._links.get(peer)
         if link is None:
             return 0
         return await self._demands.ask(link, workspace, tokens, headroom)
 
     def transfer(self, peer: str, workspace: str, tokens: int) -> None:
-        """Hand over tokens that were counted as spent here."""
+        """Send a peer tokens that this instance has counted as spent."""
         link = self._links.get(peer)
         if link is not None:
             link.send(Loan(UNSOLICITED, workspace, tokens))
 
     def greet(self, link: PeerLink) -> None:
-        """Send the first message on a link."""
+        """Send the greeting and the known state on a new link."""
         link.last_seen_at = self.clock.seconds()
-        self._all.add(link)
+        self._all_links.add(link)
         members = {
-            name: (str(one.address), one.domain) for name, one in self._members.items()
+            name: (str(member.address), member.domain)
+            for name, member in self._members.items()
         }
         link.send(Hello(self._instance, members))
         link.send(SupportedMessages(sorted(MESSAGE_TYPES)))
         link.send(Heartbeat(self._listener.configuration_version()))
-        link.send(UpstreamDepartures.pack(self._listener.departures()[-MAX_TOLD:]))
+        link.send(
+            UpstreamDepartures.pack(
+                self._listener.departures()[-MAX_ANNOUNCED_DEPARTURES:]
+            )
+        )
         if evacuations := self._listener.evacuations():
             link.send(DomainEvacuations.pack(evacuations))
         if crashes := self._listener.crash_reports():
@@ -202,28 +207,28 @@
         for topic in self._topics:
             link.send(topic.make_greeting())
 
-    def lose(self, link: PeerLink) -> None:
-        """Forget a link."""
-        self._all.discard(link)
-        self._demands.lose(link)
+    def note_disconnected(self, link: PeerLink) -> None:
+        """Remove a link that was closed."""
+        self._all_links.discard(link)
+        self._demands.abandon(link)
         if self._links.get(link.instance) is link:
             del self._links[link.instance]
             self._listener.forget_loads(link.instance)
             for topic in self._topics:
-                topic.lose(link)
+                topic.note_disconnected(link)
             log_event("peer-lost", Level.WARNING, peer=link.instance)
 
     def end_connecting(self, address: Address) -> None:
-        """Learn that a link to an address failed or is gone."""
+        """Record that a link to an address failed or was closed."""
         self._connecting.discard(address)
 
     def receive(self, link: PeerLink, message: PeerMessage) -> None:
-        """Act on a message."""
+        """Process a message."""
         link.last_seen_at = self.clock.seconds()
         if isinstance(message, Hello):
             self._receive_hello(link, message)
         elif isinstance(message, SupportedMessages):
-            self._receive_understood(link, message)
+            self._receive_supported(link, message)
         elif isinstance(message, Heartbeat):
             self._receive_version(link, message.version)
         elif isinstance(message, FetchConfiguration):
@@ -232,18 +237,18 @@
             self._receive_configuration(link, message)
         elif isinstance(message, LoanRequest | Loan):
             self._receive_tokens(link, message)
-        elif topic := self._topic_of.get(type(message)):
+        elif topic := self._topics_by_message.get(type(message)):
             topic.receive(link, message)
         else:
-            self._receive_news(link, message)
+            self._receive_announcement(link, message)
 
-    def _receive_news(self, link: PeerLink, message: PeerMessage) -> None:
+    def _receive_announcement(self, link: PeerLink, message: PeerMessage) -> None:
         if isinstance(message, UpstreamDepartures):
             for departure in message.unpack():
                 self._listener.receive_departure(departure)
         elif isinstance(message, DomainEvacuations):
-            for news in message.unpack():
-                self._listener.receive_evacuation(news)
+            for evacuation in message.unpack():
+                self._listener.receive_evacuation(evacuation)
         elif isinstance(message, UpstreamCrashes):
             for report in message.unpack():
                 self._listener.receive_crash(report)
@@ -254,8 +259,8 @@
                 self._listener.receive_load(link.instance, upstream, tokens, parts)
 
     def _receive_undated(self, link: PeerLink, message: UndatedCrashes) -> None:
-        """Take crashes without ages, unless the peer says them with ages as well."""
-        if link.reads(UpstreamCrashes):
+        """Merge reports without ages, unless the peer also sends them with ages."""
+        if link.supports(UpstreamCrashes):
             return
         for report in message.unpack():
             self._listener.receive_crash(report)
@@ -271,20 +276,22 @@
         link.instance = hello.instance
         for name, (address, domain) in hello.members.items():
             if name not in self._members:
-                self._learn_from(link, name, address, domain)
+                self._add_member_from(link, name, address, domain)
         self._plan.forget(hello.instance)
         if hello.instance not in self._links:
             self._links[hello.instance] = link
             log_event("peer-linked", peer=hello.instance)
 
-    def _receive_understood(self, link: PeerLink, message: SupportedMessages) -> None:
-        link.understood = frozenset(message.codes)
+    def _receive_supported(self, link: PeerLink, message: SupportedMessages) -> None:
+        link.supported_codes = frozenset(message.codes)
         for topic in self._topics:
-            topic.note_understood(link)
+            topic.note_supported(link)
 
-    def _learn_from(self, link: PeerLink, name: str, address: str, domain: str) -> None:
+    def _add_member_from(
+        self, link: PeerLink, name: str, address: str, domain: str
+    ) -> None:
         try:
-            self.learn(name, Member.parse(address, domain))
+            self.add_member(name, Member.parse(address, domain))
         except ValueError as error:
             log_event(
                 "member-malformed",
@@ -317,27 +324,27 @@
             link.drop()
 
     def _receive_loan(self, link: PeerLink, loan: Loan) -> None:
-        """Take a loan, also one that comes after it was waited for."""
+        """Credit a loan, even if it arrives after its timeout."""
         if loan.tokens > 0:
             returned = loan.number == UNSOLICITED
             self._listener.receive_loan(loan.workspace, loan.tokens, returned=returned)
-        self._demands.end(link, loan)
+        self._demands.complete(link, loan)
 
-    async def _beat(self) -> None:
-        self._drop_silent()
-        # Both ends of a pair may have opened a link and use different ones, so each
-        # link is kept alive by itself.
+    async def _send_heartbeats(self) -> None:
+        self._drop_unresponsive()
+        # Each link is kept alive separately, since both instances may have opened one
+        # and may use different ones.
         data = encode_message(Heartbeat(self._listener.configuration_version()))
-        for link in self._all:
+        for link in self._all_links:
             if not link.has_sent:
                 link.send_bytes(data)
             link.has_sent = False
         self._open_links()
 
-    def _drop_silent(self) -> None:
+    def _drop_unresponsive(self) -> None:
         now = self.clock.seconds()
-        for link in list(self._all):
-            if now - link.last_seen_at > SILENT_SECONDS:
+        for link in list(self._all_links):
+            if now - link.last_seen_at > LINK_TIMEOUT_SECONDS:
                 link.drop()
 
     def _open_links(self) -> None:
@@ -345,7 +352,7 @@
             self._members,
             self._links,
             self._listener.co_lenders(),
-            {one for topic in self._topics for one in topic.list_requested()},
+            {peer for topic in self._topics for peer in topic.list_requested()},
         )
         if not self._links:
             addresses += self._seeds
@@ -365,9 +372,9 @@
 
     def _send_all(self, message: PeerMessage) -> None:
         data = encode_message(message)
-        former = make_earlier_form(message)
+        earlier = make_earlier_form(message)
         for link in self._links.values():
-            if former is None:
+            if earlier is None:
                 link.send_bytes(data)
             else:
                 link.send(message)
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/peertopics.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/peertopics.py
@@ -1,4 +1,4 @@
-"""Matters that instances talk about, each with messages of its own."""
+"""The interface of topics, each of which handles some kinds of peer messages."""
 
 from __future__ import annotations
 
@@ -13,26 +13,29 @@
 
 
 class PeerTopic(ABC):
-    """One matter; it registers itself with the links of its instance."""
+    """Handles the messages of one topic; it registers itself with the mesh.
+
+    :cvar MESSAGES: kinds of messages that it receives
+    """
 
     MESSAGES: ClassVar[tuple[type[PeerMessage], ...]]
 
     @abstractmethod
     def make_greeting(self) -> PeerMessage:
-        """Return what a peer is told on each new link."""
+        """Return the message to send on each new link."""
 
     @abstractmethod
-    def note_understood(self, link: PeerLink) -> None:
-        """Learn which messages a peer reads."""
+    def note_supported(self, link: PeerLink) -> None:
+        """Record which messages a peer supports."""
 
     @abstractmethod
     def receive(self, link: PeerLink, message: PeerMessage) -> None:
-        """Act on a message."""
+        """Process a message."""
 
     @abstractmethod
-    def lose(self, link: PeerLink) -> None:
-        """Learn that a peer can no longer be reached by a link."""
+    def note_disconnected(self, link: PeerLink) -> None:
+        """Record that the link to a peer was closed."""
 
     @abstractmethod
     def list_requested(self) -> Collection[str]:
-        """Return the instances to which there should be links."""
+        """Return the instances to which links are required."""
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/permitlinks.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/permitlinks.py
@@ -1,4 +1,4 @@
-"""What instances tell and ask each other of limited upstreams."""
+"""Messages between instances about rate limits and permits of upstreams."""
 
 from __future__ import annotations
 
@@ -28,15 +28,15 @@
     from pondquay_daemon.relay.peermessages import PeerMessage
     from pondquay_daemon.relay.peers import PeerMesh
 
-# After which an answer is no longer waited for, in seconds: permits would have ended.
+# Timeout of a request for permits, after which granted permits would have expired.
 RESPONSE_SECONDS = 1.0
 
 
 @dataclass(frozen=True, slots=True)
-class PermitAsk:
-    """A request that a peer has not answered yet.
+class PendingRequest:
+    """A request that the peer has not answered yet.
 
-    :param response: fires with the answer, ``None`` if there will be none
+    :param response: fires with the grant, ``None`` if the link is closed
     """
 
     link: PeerLink
@@ -44,18 +44,18 @@
 
 
 class PermitListener(ABC):
-    """What knows of limits and has permits."""
+    """Provides and records limits, and answers requests for permits."""
 
     @abstractmethod
     def list_limited(self) -> list[KnownUpstream]:
-        """Return the upstreams that name a limit."""
+        """Return the upstreams that report a limit."""
 
     @abstractmethod
     def receive(self, name: str, rate: float | None, age: float) -> None:
-        """Take in what a peer knows of an upstream's limit.
+        """Record an upstream's limit that a peer reports.
 
-        :param rate: requests a second, ``None`` for no limit
-        :param age: seconds since the upstream said so
+        :param rate: requests per second, ``None`` for no limit
+        :param age: seconds since the upstream reported it
         """
 
     @abstractmethod
@@ -64,7 +64,7 @@
 
 
 class PermitLinks(PeerTopic):
-    """The messages of limits and permits, by the links of one instance."""
+    """Sends and receives messages about limits and permits."""
 
     MESSAGES: ClassVar[tuple[type[PeerMessage], ...]] = (
         UpstreamLimits,
@@ -79,77 +79,84 @@
         self._mesh = mesh
         self._peers = peers
         self._numbers = count(1)
-        self._asks: dict[int, PermitAsk] = {}
+        self._pending: dict[int, PendingRequest] = {}
         mesh.add_topic(self)
 
     def connect(self, listener: PermitListener) -> None:
-        """Take the part that knows of limits and has permits."""
+        """Set the listener; before the first link."""
         self._listener = listener
 
     def announce(self, *upstreams: KnownUpstream) -> None:
-        """Tell all peers what upstreams take."""
-        self._mesh.tell_all(self._pack(upstreams))
+        """Announce the limits of upstreams to all peers."""
+        self._mesh.broadcast(self._pack(upstreams))
 
     async def ask(
-        self, peer: str, requester: str, upstream: KnownUpstream, wanted: int, hops: int
+        self, peer: str, requester: str, upstream: KnownUpstream, needed: int, hops: int
     ) -> PermitGrant | None:
-        """Ask a peer for permits; ``None`` if it does not answer."""
+        """Request permits from a peer; return ``None`` if it does not respond."""
         link = self._mesh.find_link(peer)
         if link is None:
             return None
         number = next(self._numbers)
         limit = upstream.limit
-        ask = PermitAsk(link, Deferred())
-        self._asks[number] = ask
+        pending = PendingRequest(link, Deferred())
+        self._pending[number] = pending
         link.send(
             PermitRequest(
                 number,
                 requester,
                 upstream.name,
-                wanted,
+                needed,
                 hops,
                 limit.rate,
                 limit.age(self._clock.seconds()),
             )
         )
         try:
-            return await wait_at_most(ask.response, RESPONSE_SECONDS, self._clock, None)
+            return await wait_at_most(
+                pending.response, RESPONSE_SECONDS, self._clock, None
+            )
         finally:
-            self._asks.pop(number, None)
+            self._pending.pop(number, None)
 
     def make_greeting(self) -> UpstreamLimits:
-        """Return what upstreams take, as far as it is known."""
+        """Return the message with all known limits."""
         return self._pack(self._listener.list_limited())
 
-    def note_understood(self, link: PeerLink) -> None:
-        """Learn whether a peer can be asked for permits."""
-        if link.reads(PermitRequest):
+    def note_supported(self, link: PeerLink) -> None:
+        """Record whether a peer can be asked for permits."""
+        if link.supports(PermitRequest):
             self._peers.note_linked(link.instance)
 
     def receive(self, link: PeerLink, message: PeerMessage) -> None:
-        """Act on a message."""
+        """Process a message."""
         if isinstance(message, UpstreamLimits):
             for upstream, rate, age in message.limits:
                 self._listener.receive(upstream, rate, age)
         elif isinstance(message, PermitRequest):
             self._listener.serve(link, message)
         elif isinstance(message, PermitGrant):
-            ask = self._asks.pop(message.number, None)
-            if ask is not None:
-                ask.response.callback(message)
+            pending = self._pending.pop(message.number, None)
+            if pending is not None:
+                pending.response.callback(message)
 
-    def lose(self, link: PeerLink) -> None:
-        """Learn that a peer can no longer be reached."""
+    def note_disconnected(self, link: PeerLink) -> None:
+        """Record that a peer is unreachable and end its pending requests."""
         self._peers.note_disconnected(link.instance)
-        for number in [key for key, ask in self._asks.items() if ask.link is link]:
-            self._asks.pop(number).response.callback(None)
+        for number in [
+            key for key, pending in self._pending.items() if pending.link is link
+        ]:
+            self._pending.pop(number).response.callback(None)
 
     def list_requested(self) -> Collection[str]:
-        """Return the instances that have to be asked and are not linked."""
+        """Return the instances to which links are requested for permits."""
         return self._peers.list_requested()
 
     def _pack(self, upstreams: Collection[KnownUpstream]) -> UpstreamLimits:
         now = self._clock.seconds()
         return UpstreamLimits(
-            [(one.name, one.limit.rate, one.limit.age(now)) for one in upstreams]
+            [
+                (upstream.name, upstream.limit.rate, upstream.limit.age(now))
+                for upstream in upstreams
+            ]
         )
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/permits.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/permits.py
@@ -1,4 +1,4 @@
-"""Permits to send to upstreams that take few requests from all instances together."""
+"""Permits to send to upstreams with a rate limit for all instances together."""
 
 from __future__ import annotations
 
@@ -27,24 +27,23 @@
     from pondquay_daemon.relay.peermessages import PermitRequest
     from pondquay_daemon.relay.permitlinks import PermitLinks
 
-# For which a request waits for a permit before it goes elsewhere, in seconds: some ways
-# between failure domains.
+# Time that a request waits for a permit before another upstream is chosen.
 PERMIT_WAIT_SECONDS = 0.05
-# After which an instance asks again that had nobody to ask, in seconds.
+# Delay before an instance without a reachable issuer asks again.
 NO_ISSUER_RETRY_SECONDS = 0.25
-# Instances that pass a request on: the one that speaks for a domain.
+# Instances that may forward a request for permits.
 MAX_HOPS = 1
-# Where a limit is known from, for the logs.
+# Sources of a limit, for the logs.
 FROM_RESPONSE = "answer"
 FROM_PEER = "peer"
 
 
 @dataclass(frozen=True, slots=True)
 class Refill:
-    """Permits that are being asked for.
+    """A pending request for permits.
 
-    :param done: fires once they are in stock, or there are none
-    :param overdue_at: until when requests wait for it, in seconds
+    :param done: fires once the request is answered
+    :param overdue_at: time until which callers' requests wait for it, in seconds
     """
 
     done: Deferred[None]
@@ -52,9 +51,9 @@
 
 
 class PermitBroker(PermitListener):
-    """Gets permits for the requests of one instance, and issues or passes on others'.
+    """Obtains permits for this instance, and issues or forwards them to peers.
 
-    :param instance: its name
+    :param instance: name of this instance
     """
 
     def __init__(
@@ -76,27 +75,28 @@
         links.connect(self)
 
     def can_supply(self, upstream: KnownUpstream) -> bool:
-        """Tell whether a request may be sent to an upstream, or it is worth asking."""
+        """Return whether a permit is available, can be requested or is not needed."""
         if not upstream.is_limited():
             return True
         return upstream.permits.can_supply(self._clock.seconds())
 
     async def take(self, upstream: KnownUpstream, until: float) -> bool:
-        """Use a permit for one request; tell whether there was one, or none is needed.
+        """Take a permit for one request.
 
-        It waits for the time of a message and its answer at most: other upstreams may
-        serve the request, and where there are none its caller is told to come again.
+        It waits for a pending request for permits for a short time only, since other
+        upstreams may serve the request.
 
-        :param until: when the request is to be sent or refused, in seconds
+        :param until: time by which the request has to be sent or refused, in seconds
+        :returns: whether there was a permit, or none is needed
         """
         if not upstream.is_limited():
             return True
         now = self._clock.seconds()
-        stock = upstream.permits
-        stock.note_demand(now)
-        if stock.take(now):
+        cache = upstream.permits
+        cache.note_demand(now)
+        if cache.take(now):
             return True
-        if now < stock.next_request_at:
+        if now < cache.next_request_at:
             return False
         refill = self._refills.get(upstream.name)
         if refill is None:
@@ -107,21 +107,21 @@
         seconds = min(refill.overdue_at, until) - now
         if seconds > 0:
             await wait_at_most(refill.done, seconds, self._clock, None)
-        return not upstream.is_limited() or stock.take(self._clock.seconds())
+        return not upstream.is_limited() or cache.take(self._clock.seconds())
 
     def plan_retry(self, upstreams: Iterable[KnownUpstream]) -> float | None:
-        """Return when a caller that is refused should come again, in seconds.
+        """Return the seconds after which a refused caller should retry.
 
         :returns: ``None`` if none of them is limited
         """
-        stocks = [one.permits for one in upstreams if one.is_limited()]
-        if not stocks:
+        caches = [upstream.permits for upstream in upstreams if upstream.is_limited()]
+        if not caches:
             return None
-        first = min(stocks, key=lambda one: one.next_request_at)
+        first = min(caches, key=lambda cache: cache.next_request_at)
         return first.plan_retry(self._clock.seconds())
 
     def list_limited(self) -> list[KnownUpstream]:
-        """Return the upstreams that name a limit."""
+        """Return the upstreams that report a limit."""
         return self._directory.list_limited()
 
     def note_response_limit(
@@ -131,11 +131,11 @@
         asked_at: float,
         reached_by: float,
     ) -> None:
-        """Take in what an answer names, and tell peers of another limit than before.
+        """Record the limit that a response reports, and announce a change to peers.
 
-        :param rate: requests a second, ``None`` if it names no limit
-        :param asked_at: when the request was placed, in seconds
-        :param reached_by: by when it had reached the upstream, in seconds
+        :param rate: requests per second, ``None`` if the response reports no limit
+        :param asked_at: time at which the request was placed, in seconds
+        :param reached_by: time by which it had reached the upstream, in seconds
         """
         before = upstream.limit.rate
         limit = RateLimit(rate, self._clock.seconds())
@@ -144,13 +144,13 @@
             self._links.announce(upstream)
 
     def receive(self, name: str, rate: float | None, age: float) -> None:
-        """Take in what a peer knows of an upstream's limit."""
+        """Record an upstream's limit that a peer reports."""
         upstream = self._directory.find(name)
         if upstream is not None:
             self._receive(upstream, rate, age)
 
     def serve(self, link: PeerLink, request: PermitRequest) -> None:
-        """Answer a peer's request, by own permits or by those of the issuer."""
+        """Answer a peer's request, by issuing permits or asking the issuer."""
         upstream = self._directory.find(request.upstream)
         if upstream is None:
             link.send(_grant_nothing(request.number))
@@ -176,13 +176,13 @@
         )
 
     async def _refill(self, upstream: KnownUpstream, refill: Refill) -> None:
-        stock = upstream.permits
+        cache = upstream.permits
         asked_at = self._clock.seconds()
-        wanted = min(MAX_PERMITS, stock.count_wanted())
+        needed = min(MAX_PERMITS, cache.count_wanted())
         try:
-            grant = await self._obtain(self._instance, upstream, wanted, 0)
+            grant = await self._obtain(self._instance, upstream, needed, 0)
             now = self._clock.seconds()
-            stock.add(grant.count, asked_at + grant.seconds, grant.pause, now)
+            cache.add(grant.count, asked_at + grant.seconds, grant.pause, now)
             self._metrics.permits.labels("granted").inc(grant.count)
             if not grant.count:
                 self._metrics.permits.labels("refused").inc()
@@ -191,23 +191,23 @@
             refill.done.callback(None)
 
     async def _obtain(
-        self, requester: str, upstream: KnownUpstream, wanted: int, hops: int
+        self, requester: str, upstream: KnownUpstream, needed: int, hops: int
     ) -> PermitGrant:
-        """Return permits for an instance, issued here or by the one that does."""
+        """Return permits for an instance, issued here or requested from the issuer."""
         rate = upstream.limit.rate
         if rate is None:
-            return PermitGrant(0, wanted, PERMIT_SECONDS, 0.0, None, None)
+            return PermitGrant(0, needed, PERMIT_SECONDS, 0.0, None, None)
         source = self._choose_source(upstream)
         if source == self._instance:
             now = self._clock.seconds()
-            issued = upstream.issuer.issue(requester, wanted, rate, now)
+            issued = upstream.issuer.issue(requester, needed, rate, now)
             self._metrics.permits.labels("issued").inc(issued.count)
             return PermitGrant(
                 0, issued.count, PERMIT_SECONDS, issued.pause, rate, None
             )
         if source is None or hops > MAX_HOPS:
             return _grant_nothing(0)
-        grant = await self._links.ask(source, requester, upstream, wanted, hops + 1)
+        grant = await self._links.ask(source, requester, upstream, needed, hops + 1)
         if grant is None:
             return _grant_nothing(0)
         if grant.age is not None:
@@ -215,12 +215,12 @@
         return grant
 
     def _choose_source(self, upstream: KnownUpstream) -> str | None:
-        """Return whom to ask for an upstream's permits, and log it where it changes."""
-        record, stock = upstream.record, upstream.permits
+        """Return the instance to ask for an upstream's permits; log changes."""
+        record, cache = upstream.record, upstream.permits
         source = self._choice.choose(record.name, record.domain)
-        if source != stock.source:
+        if source != cache.source:
             log_event("permit-source", upstream=upstream.name, asks=source or "nobody")
-            stock.source = source
+            cache.source = source
         return source
 
     def _receive(self, upstream: KnownUpstream, rate: float | None, age: float) -> None:
@@ -244,5 +244,5 @@
 
 
 def describe_rate(rate: float | None) -> float | str:
-    """Return a limit as logs show it."""
+    """Return a limit as shown in logs."""
     return "none" if rate is None else rate
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/readiness.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/readiness.py
@@ -1,4 +1,4 @@
-"""The balancer's question whether an instance takes connections."""
+"""The readiness endpoint for load balancers."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 
 
 class ReadinessHandler(RequestHandler):
-    """Tells the balancer whether the relay is ready.
+    """Answers readiness probes of the load balancer.
 
-    :param path: that the balancer asks for
+    :param path: path of the probes
     """
 
     def __init__(self, path: bytes, is_ready: Callable[[], bool]) -> None:
@@ -28,10 +28,10 @@
         self._is_ready = is_ready
 
     def limits(self) -> CallerLimits:
-        """Return what a balancer may send."""
+        """Return the limits for a balancer's requests."""
         return CallerLimits(body_bytes=0)
 
     def handle(self, head: RequestHead, body: bytes, response: CallerResponse) -> None:
-        """Answer one question."""
+        """Answer a probe."""
         ready = head.target == self._path and self._is_ready()
         response.send_whole(OK if ready else UNAVAILABLE, [], b"")
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/stallmonitor.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/stallmonitor.py
@@ -1,9 +1,8 @@
-"""Noticing that the process stood still: frozen, suspended with its host, or stalled.
+"""Detection of stalls, during which the process was suspended or did not run.
 
 The relay's clock counts the time for which a host was suspended, so everything that is
-due by then is due on waking: time-outs, the ages of what the store and peers said, and
-what is said of them. What is left to do is to tell callers' balancer: until the store
-has been asked anew, the instance says that it is not ready.
+due by then, such as timeouts, takes effect at once. Until the store has confirmed the
+known state again, the instance reports to the load balancer that it is not ready.
 """
 
 from __future__ import annotations
@@ -21,44 +20,43 @@
     from pondquay_daemon.relay.feeds import TableFeed
 
 TICK_SECONDS = 0.25
-# A tick that is later than this, in seconds, is taken for standing still. It is about
-# what a poll of the store takes, so news may be as late as this without it as well.
-STILL_SECONDS = 1.5
+# A tick that comes later than this after the previous one counts as a stall.
+STALL_SECONDS = 1.5
 
 
 class StallMonitor(Task):
-    """Tells whether the store was heard since the process last stood still.
+    """Detects stalls and checks whether the store has responded since the last one.
 
-    :param feeds: what has to be confirmed
+    :param feeds: feeds that have to be confirmed after a stall
     """
 
     def __init__(self, clock: IReactorTime, feeds: Sequence[TableFeed]) -> None:
         super().__init__(clock)
         self._feeds = feeds
-        self._ticked: float | None = None
-        self._woken = 0.0
+        self._last_tick_at: float | None = None
+        self._resumed_at = 0.0
 
     def start(self) -> None:
-        """Begin to watch."""
+        """Start checking periodically."""
         self.repeat(TICK_SECONDS, self._tick)
 
     @property
     def confirmed(self) -> bool:
-        """Whether all that is followed was confirmed since."""
-        self._notice()
+        """Whether all feeds have been confirmed since the last stall."""
+        self._detect_stall()
         now = self.clock.seconds()
         ages = [feed.age() for feed in self._feeds]
-        return all(age is not None and now - age >= self._woken for age in ages)
+        return all(age is not None and now - age >= self._resumed_at for age in ages)
 
     async def _tick(self) -> None:
-        self._notice()
-        self._ticked = self.clock.seconds()
+        self._detect_stall()
+        self._last_tick_at = self.clock.seconds()
 
-    def _notice(self) -> None:
-        """Note the end of standing still, also before the tick that is late."""
+    def _detect_stall(self) -> None:
+        """Record the end of a stall, also if called before the late tick."""
         now = self.clock.seconds()
-        if self._ticked is None or now - self._ticked <= STILL_SECONDS:
+        if self._last_tick_at is None or now - self._last_tick_at <= STALL_SECONDS:
             return
-        seconds = now - self._ticked
-        self._ticked = self._woken = now
+        seconds = now - self._last_tick_at
+        self._last_tick_at = self._resumed_at = now
         log_event("stood-still", Level.WARNING, seconds=round(seconds, 2))
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/store.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/store.py
@@ -1,4 +1,4 @@
-"""The interface to the platform's table store."""
+"""The interface of the platform's table store."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """A table as it was at a version of the store."""
+    """The rows of a table at a version of the store."""
 
     rows: tuple[Row, ...]
     version: int
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RowChange:
-    """A row that was written, or deleted if it has no value."""
+    """A row that was written, or deleted if its value is ``None``."""
 
     key: str
     version: int
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Changes:
-    """What changed in a table, up to a version of the store."""
+    """The changes of a table up to a version of the store."""
 
     changes: tuple[RowChange, ...]
     version: int
@@ -41,37 +41,37 @@
 
 @dataclass(frozen=True, slots=True)
 class HistoryLost:
-    """The store no longer knows what changed; the table has to be read."""
+    """The store no longer has the requested changes; the table has to be read."""
 
 
 class Store(ABC):
-    """A client of the store. No call raises for what the network or store does.
+    """A client of the store. Calls return network and store failures as values.
 
     Keys of transactions and reads are ``TABLE/KEY``. In a partitioned table each row is
-    a partition by itself, which the store writes to without waiting for others.
+    a partition of its own, which the store writes independently of others.
     """
 
     @abstractmethod
     async def read_table(self, table: str) -> Snapshot | Unreachable:
         """Read all rows of a table.
 
-        Of a partitioned table only the version is read, as that takes one call and its
-        rows would take one each.
+        Of a partitioned table only the version is read, since reading its rows would
+        take one call each.
         """
 
     @abstractmethod
     async def read_row(self, key: str) -> Row | None | Unreachable:
-        """Read one row, ``None`` if it is not there."""
+        """Read one row, ``None`` if it does not exist."""
 
     @abstractmethod
     async def follow(
         self, table: str, since: int, wait: float
     ) -> Changes | HistoryLost | Unreachable:
-        """Wait for what changes in a table after a version.
+        """Wait for changes of a table after a version.
 
-        :param wait: seconds after which an answer comes in any case
+        :param wait: seconds after which the store responds even without changes
         """
 
     @abstractmethod
     async def commit(self, transaction: Transaction) -> CommitReply:
-        """Carry out a transaction whose keys lie in one table."""
+        """Execute a transaction whose keys belong to one table."""
