--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/accounts.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/accounts.py
@@ -6,7 +6,7 @@
 
 from twisted.internet.defer import Deferred, gatherResults
 
-from pondquay.budgets.accounts import Account, Refused
+from pondquay.budgets.accounts import Account, RefusalReason
 from pondquay.budgets.allotments import AllotmentRow
 from pondquay.budgets.headroom import plan_headroom, request_tokens
 from pondquay.errors import MalformedRowError
@@ -121,7 +121,7 @@
 
     async def obtain(
         self, request: str, workspace: str, tokens: int, max_wait_seconds: float
-    ) -> Refused | None:
+    ) -> RefusalReason | None:
         """Reserve tokens; request more from the table or borrow them if necessary.
 
         :param request: name of the request, for the logs
@@ -133,7 +133,7 @@
         refused = account.reserve(tokens)
         until = self.clock.seconds() + max_wait_seconds
         for wait in TABLE_RETRY_WAITS if self._loans.lends(workspace) else ():
-            if refused in (None, Refused.EXHAUSTED) or not self._reachable():
+            if refused in (None, RefusalReason.EXHAUSTED) or not self._reachable():
                 break
             if self.clock.seconds() + wait > until:
                 break
@@ -141,25 +141,25 @@
             self._schedule_adjustment(workspace)
             await sleep(wait, self.clock)
             refused = account.reserve(tokens)
-        account.wanted = 0
+        account.requested = 0
         if refused is not None:
             refused = await self._loans.borrow(account, workspace, tokens)
-        if refused is Refused.ELSEWHERE and not self._reachable():
-            refused = Refused.OUT_OF_REACH
+        if refused is RefusalReason.ELSEWHERE and not self._reachable():
+            refused = RefusalReason.OUT_OF_REACH
         self._log_reservation(request, workspace, account, tokens, refused)
         self._schedule_adjustment(workspace)
         return refused
 
-    def retry_after_seconds(self, refused: Refused) -> float:
+    def retry_after_seconds(self, refused: RefusalReason) -> float:
         """Return the seconds after which a refused caller should retry.
 
         An instance that has not read a budget's row yet has just started, possibly
         together with all others, and can only borrow once links are open.
         """
         default_delay = self._policy.come_back_seconds
-        if refused is Refused.OUT_OF_REACH:
+        if refused is RefusalReason.OUT_OF_REACH:
             return OUTAGE_RETRY_SECONDS
-        if refused is Refused.UNKNOWN:
+        if refused is RefusalReason.UNKNOWN:
             return max(default_delay, self._startup_ends_at - self.clock.seconds())
         return default_delay
 
@@ -169,7 +169,7 @@
         workspace: str,
         account: Account,
         tokens: int,
-        refused: Refused | None,
+        refused: RefusalReason | None,
     ) -> None:
         """Log the result of a reservation and the account's state."""
         if refused is not None:
@@ -185,7 +185,7 @@
             ceiling=account.ceiling,
             reserved=account.reserved,
             free=account.free(),
-            left=account.left(),
+            left=account.remaining(),
             row=account.version or ABSENT,
             store="up" if self._reachable() else "away",
         )
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/crashmonitor.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/crashmonitor.py
@@ -178,9 +178,9 @@
             return None
         return Refusal(UNAVAILABLE, BLOCKED_REASON, blocked.retry_after)
 
-    def take_trial(self, content: bytes) -> bool:
+    def start_trial(self, content: bytes) -> bool:
         """Start a trial of a blocked request if one is due; return whether it is."""
-        report = self.history.take_trial(content)
+        report = self.history.start_trial(content)
         if report is None:
             return False
         log_event("content-tried", content=content.hex(), trials=report.trials)
@@ -295,7 +295,7 @@
         refusal = self._monitor.check(self.content)
         if refusal is None:
             return None
-        self._on_trial = self._monitor.take_trial(self.content)
+        self._on_trial = self._monitor.start_trial(self.content)
         return None if self._on_trial else refusal
 
     def recheck(self, sends: int) -> Refusal | None:
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/evacuationview.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/evacuationview.py
@@ -63,7 +63,7 @@
         self._apply(evacuation, PEER)
 
     def _apply(self, evacuation: Evacuation, source: str) -> None:
-        if self._directory.evacuations.take(evacuation):
+        if self._directory.evacuations.merge(evacuation):
             self._publish(evacuation, source)
 
     def _publish(self, evacuation: Evacuation, source: str) -> None:
@@ -75,5 +75,5 @@
             source=source,
         )
         if not evacuation.evacuated:
-            self._directory.note_taken_back(evacuation.domain, self._cold_seconds)
+            self._directory.note_restored(evacuation.domain, self._cold_seconds)
         self._announce(evacuation)
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/loans.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/loans.py
@@ -20,7 +20,7 @@
 
     from twisted.internet.interfaces import IReactorTime
 
-    from pondquay.budgets.accounts import Account, Refused
+    from pondquay.budgets.accounts import Account, RefusalReason
     from pondquay.policy import RelayPolicy
 
 MAX_LENDERS = 8
@@ -110,7 +110,7 @@
 
     async def borrow(
         self, account: Account, workspace: str, tokens: int
-    ) -> Refused | None:
+    ) -> RefusalReason | None:
         """Borrow the tokens that a request lacks and reserve them.
 
         :returns: the reason if they cannot be reserved, ``None`` otherwise
@@ -180,7 +180,7 @@
 
     async def _borrow_from_lenders(
         self, account: Account, workspace: str, tokens: int, headroom: int
-    ) -> Refused | None:
+    ) -> RefusalReason | None:
         refused = account.reserve(tokens)
         for peer in self._rank_lenders(account, workspace):
             if refused is None:
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/peerdispatcher.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/peerdispatcher.py
@@ -104,7 +104,7 @@
 
     def evacuations(self) -> list[Evacuation]:
         """Return the latest change of each domain that was ever evacuated."""
-        return self._directory.evacuations.news()
+        return self._directory.evacuations.updates()
 
     def receive_evacuation(self, evacuation: Evacuation) -> None:
         """Record a change of a domain that a peer reports."""
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/permits.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/permits.py
@@ -8,7 +8,7 @@
 
 from twisted.internet.defer import Deferred
 
-from pondquay.routing.ratelimits import PERMIT_SECONDS, RateLimit
+from pondquay.routing.ratelimits import PERMIT_LIFETIME_SECONDS, RateLimit
 from pondquay_daemon.logs import log_event
 from pondquay_daemon.relay.peermessages import MAX_PERMITS, PermitGrant
 from pondquay_daemon.relay.permitlinks import PermitListener
@@ -20,7 +20,7 @@
     from twisted.internet.interfaces import IReactorTime
 
     from pondquay.routing.directory import UpstreamDirectory
-    from pondquay.routing.issuers import IssuerChoice
+    from pondquay.routing.issuers import IssuerSelector
     from pondquay.routing.knownupstreams import KnownUpstream
     from pondquay_daemon.relay.metrics import RelayMetrics
     from pondquay_daemon.relay.peerlinks import PeerLink
@@ -61,7 +61,7 @@
         clock: IReactorTime,
         instance: str,
         directory: UpstreamDirectory,
-        choice: IssuerChoice,
+        choice: IssuerSelector,
         links: PermitLinks,
         metrics: RelayMetrics,
     ) -> None:
@@ -128,18 +128,18 @@
         self,
         upstream: KnownUpstream,
         rate: float | None,
-        asked_at: float,
-        reached_by: float,
+        requested_at: float,
+        delivered_at: float,
     ) -> None:
         """Record the limit that a response reports, and announce a change to peers.
 
         :param rate: requests per second, ``None`` if the response reports no limit
-        :param asked_at: time at which the request was placed, in seconds
-        :param reached_by: time by which it had reached the upstream, in seconds
+        :param requested_at: time at which the request was placed, in seconds
+        :param delivered_at: time by which it had reached the upstream, in seconds
         """
         before = upstream.limit.rate
         limit = RateLimit(rate, self._clock.seconds())
-        if self._directory.note_limit(upstream, limit, asked_at, reached_by):
+        if self._directory.note_limit(upstream, limit, requested_at, delivered_at):
             _log_limit(upstream, before, FROM_RESPONSE)
             self._links.announce(upstream)
 
@@ -177,12 +177,12 @@
 
     async def _refill(self, upstream: KnownUpstream, refill: Refill) -> None:
         cache = upstream.permits
-        asked_at = self._clock.seconds()
-        needed = min(MAX_PERMITS, cache.count_wanted())
+        requested_at = self._clock.seconds()
+        needed = min(MAX_PERMITS, cache.count_needed())
         try:
             grant = await self._obtain(self._instance, upstream, needed, 0)
             now = self._clock.seconds()
-            cache.add(grant.count, asked_at + grant.seconds, grant.pause, now)
+            cache.add(grant.count, requested_at + grant.seconds, grant.pause, now)
             self._metrics.permits.labels("granted").inc(grant.count)
             if not grant.count:
                 self._metrics.permits.labels("refused").inc()
@@ -196,14 +196,14 @@
         """Return permits for an instance, issued here or requested from the issuer."""
         rate = upstream.limit.rate
         if rate is None:
-            return PermitGrant(0, needed, PERMIT_SECONDS, 0.0, None, None)
+            return PermitGrant(0, needed, PERMIT_LIFETIME_SECONDS, 0.0, None, None)
         source = self._choose_source(upstream)
         if source == self._instance:
             now = self._clock.seconds()
             issued = upstream.issuer.issue(requester, needed, rate, now)
             self._metrics.permits.labels("issued").inc(issued.count)
             return PermitGrant(
-                0, issued.count, PERMIT_SECONDS, issued.pause, rate, None
+                0, issued.count, PERMIT_LIFETIME_SECONDS, issued.pause, rate, None
             )
         if source is None or hops > MAX_HOPS:
             return _grant_nothing(0)
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/placement.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/placement.py
@@ -74,7 +74,7 @@
         sound = [one for one in candidates if self._is_healthy(one, now)]
         elsewhere = [one for one in sound if one.record.domain not in unreached]
         chosen = self._choose_of(elsewhere or sound or candidates, prefix, now)
-        chosen.sent_at = now
+        chosen.last_sent_at = now
         return chosen
 
     def note_unreached(self, upstream: KnownUpstream, *, refused: bool) -> None:
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/relay.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/relay.py
@@ -11,7 +11,7 @@
 from pondquay.routes.entities import CallerLimits
 from pondquay.routing.coldshares import ColdShares
 from pondquay.routing.directory import UpstreamDirectory
-from pondquay.routing.issuers import IssuerChoice, LinkedPeers
+from pondquay.routing.issuers import IssuerSelector, LinkedPeers
 from pondquay.routing.listwatch import MISSING_GRACE_SECONDS
 from pondquay.routing.retryshares import RetryShare
 from pondquay_daemon.logs import Level, log_event
@@ -131,7 +131,7 @@
             reactor,
             settings.instance,
             directory,
-            IssuerChoice(
+            IssuerSelector(
                 settings.instance,
                 settings.domain,
                 lambda: self._peers.domains,
--- a/packages/pondquay-lab/src/pondquay_lab/crashruns.py
+++ b/packages/pondquay-lab/src/pondquay_lab/crashruns.py
@@ -124,7 +124,7 @@
     def _send(self, request: _Request) -> None:
         content = request.content
         refused = self._history.check(content) is not None
-        if refused and self._history.take_trial(content) is None:
+        if refused and self._history.start_trial(content) is None:
             self.tally.refused += content != CRASHING
             return
         up = [one for one in self._upstreams if one.back_at <= self._now]
--- a/packages/pondquay/src/pondquay/routing/permitstock.py
+++ b/packages/pondquay/src/pondquay/routing/permitcache.py
@@ -59,7 +59,7 @@
         self._demand = self._demand * faded + 1.0
         self._wished_at = now
 
-    def count_wanted(self) -> int:
+    def count_needed(self) -> int:
         """Return how many permits to ask for."""
         expected = self._demand / DEMAND_SECONDS * MIN_PAUSE_SECONDS
         return max(1, math.ceil(expected))
