--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/crashmonitor.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/crashmonitor.py
@@ -20,7 +20,7 @@
 from pondquay_daemon.relay.admission import UNAVAILABLE, Refusal
 from pondquay_daemon.relay.connectioncheck import (
     CONNECT_SECONDS,
-    STAY_SECONDS,
+    MIN_OPEN_SECONDS,
     ConnectionCheck,
     Listening,
 )
@@ -42,7 +42,7 @@
 # covers the missed heartbeats and the delay of the list.
 ROW_REMOVAL_SECONDS = 8.0
 # Longest time that a request waits for a check.
-MAX_CHECK_WAIT_SECONDS = CHECK_DELAY_SECONDS + CONNECT_SECONDS + STAY_SECONDS
+MAX_CHECK_WAIT_SECONDS = CHECK_DELAY_SECONDS + CONNECT_SECONDS + MIN_OPEN_SECONDS
 # A request that has streamed events for longer is not suspected: a request that crashes
 # its upstream does so when it begins to run.
 SUSPECT_STREAM_SECONDS = 1.0
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/fetch.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/fetch.py
@@ -35,19 +35,19 @@
         self._status = 0
         self._body: list[bytes] = []
 
-    def answered(self, head: ResponseHead) -> None:
+    def on_head(self, head: ResponseHead) -> None:
         """Store the status of the response."""
         self._status = head.status
 
-    def received(self, data: bytes) -> None:
+    def on_body(self, data: bytes) -> None:
         """Store a part of the body."""
         self._body.append(data)
 
-    def ended(self) -> None:
+    def on_end(self) -> None:
         """Complete the call with the response."""
         self.finish(FetchedResponse(self._status, b"".join(self._body)))
 
-    def broke(self, error: BrokenExchangeError) -> None:
+    def on_error(self, error: BrokenExchangeError) -> None:
         """Complete the call as failed; it may have run if the request was sent."""
         self.finish(Lost() if error.sent else Unreachable())
 
