--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/crashwatch.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/crashwatch.py
@@ -20,7 +20,7 @@
 from pondquay_daemon.relay.admission import UNAVAILABLE, Refusal
 from pondquay_daemon.relay.connectioncheck import (
     CONNECT_SECONDS,
-    STAY_SECONDS,
+    MIN_OPEN_SECONDS,
     ConnectionCheck,
     Listening,
 )
@@ -43,7 +43,7 @@
 ROW_SECONDS = 8.0
 # Longest that a request waits for such a check, in seconds: its pause, and a connection
 # that comes at the last moment.
-MAX_WAIT_SECONDS = CHECK_SECONDS + CONNECT_SECONDS + STAY_SECONDS
+MAX_WAIT_SECONDS = CHECK_SECONDS + CONNECT_SECONDS + MIN_OPEN_SECONDS
 # A request whose events have been coming for this long, in seconds, is not what crashed
 # its upstream: one that does so does it as it begins to run. So fewer streams are
 # refused where upstreams crash of something else.
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/fetch.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/fetch.py
@@ -35,19 +35,19 @@
         self._status = 0
         self._body: list[bytes] = []
 
-    def answered(self, head: ResponseHead) -> None:
+    def on_head(self, head: ResponseHead) -> None:
         """Take the head of the answer."""
         self._status = head.status
 
-    def received(self, data: bytes) -> None:
+    def on_body(self, data: bytes) -> None:
         """Take a piece of the body."""
         self._body.append(data)
 
-    def ended(self) -> None:
+    def on_end(self) -> None:
         """Hand the answer over."""
         self.finish(Fetched(self._status, b"".join(self._body)))
 
-    def broke(self, error: BrokenExchangeError) -> None:
+    def on_error(self, error: BrokenExchangeError) -> None:
         """Tell whether the call may have been carried out."""
         self.finish(Lost() if error.sent else Unreachable())
 
