--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/admission.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/admission.py
@@ -1,4 +1,4 @@
-"""Who asks for what: a request's route, owner and service, or its refusal."""
+"""Admission of requests: finds their route, workspace and service, or refuses them."""
 
 from __future__ import annotations
 
@@ -21,16 +21,17 @@
 UNAUTHORIZED = 401
 NOT_FOUND = 404
 UNAVAILABLE = 503
-# Seconds after which a refused caller should come back.
-SOON = 0.25
-LATER = 1.0
+# Delays after which a refused caller should retry.
+RETRY_SOON_SECONDS = 0.25
+NO_CONFIGURATION_RETRY_SECONDS = 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """An answer that the relay gives by itself.
+    """An error response that the relay sends itself.
 
-    :param retry_after: seconds after which asking again may help
+    :param reason: text of the response's body
+    :param retry_after: seconds after which a retry may succeed, ``None`` if unknown
     """
 
     status: int
@@ -40,7 +41,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Admission:
-    """A request that has a route and an owner."""
+    """A request that has a route.
+
+    :param workspace: owner of the caller's key, ``None`` where no key is needed
+    :param service: name of the service that was chosen from the route
+    """
 
     metadata: RequestMetadata
     route: Route
@@ -54,29 +59,36 @@
     border: Border,
     random: Random,
     *,
-    current: bool,
+    is_fresh: bool,
 ) -> Admission | Refusal:
-    """Find a request's route and owner.
+    """Find a request's route, workspace and service.
 
-    :param current: whether the table was confirmed lately; if not, what it does not
-        know may exist all the same
+    :param is_fresh: whether the table was confirmed recently; if not, routes and keys
+        that are missing from it may exist
+    :returns: a refusal if the request cannot be admitted
     """
     if table is None:
-        return Refusal(UNAVAILABLE, "no configuration yet", LATER)
+        return Refusal(
+            UNAVAILABLE, "no configuration yet", NO_CONFIGURATION_RETRY_SECONDS
+        )
     try:
         metadata = border.read_request(head)
     except MalformedValueError as error:
         return Refusal(BAD_REQUEST, str(error))
     route = table.find_route(metadata.host, head.path)
     if route is None:
-        if not current:
-            return Refusal(UNAVAILABLE, "unknown route, old configuration", SOON)
+        if not is_fresh:
+            return Refusal(
+                UNAVAILABLE, "unknown route, old configuration", RETRY_SOON_SECONDS
+            )
         return Refusal(NOT_FOUND, "no such route")
     workspace = None
     if table.needs_keys and not route.public:
         workspace = table.find_workspace(metadata.key or "")
-        if workspace is None and not current:
-            return Refusal(UNAVAILABLE, "unknown key, old configuration", SOON)
+        if workspace is None and not is_fresh:
+            return Refusal(
+                UNAVAILABLE, "unknown key, old configuration", RETRY_SOON_SECONDS
+            )
         if workspace is None:
             return Refusal(UNAUTHORIZED, "unknown key")
     return Admission(metadata, route, workspace, choose_service(route, random))
@@ -85,7 +97,7 @@
 def send_refusal(
     border: Border, response: CallerResponse, attempt: str, refusal: Refusal
 ) -> None:
-    """Give a caller an answer of the relay's own."""
+    """Send a refusal to a caller."""
     headers = border.write_refusal(attempt, refusal.retry_after)
     body = f"{refusal.reason}\n".encode()
     response.send_complete(refusal.status, headers, body)
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/attempts.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/attempts.py
@@ -1,4 +1,4 @@
-"""One sending of a request to one upstream, and what came of it."""
+"""A single attempt to serve a request at one upstream, and its outcome."""
 
 from __future__ import annotations
 
@@ -29,17 +29,18 @@
         UpstreamSignals,
     )
 
-SUCCESS = range(200, 300)
-# Statuses by which a caller is promised that its request has not run. An upstream's
-# own do not say so without its mark.
-PROMISES = frozenset({408, 421, 429, 503})
+SUCCESS_STATUSES = range(200, 300)
+# A caller may take these statuses as proof that its request has not run. A response of
+# an upstream proves it only by its header, so these are not forwarded.
+NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 
 
 @dataclass(frozen=True, slots=True)
 class Unsent:
     """No byte of the request left this instance.
 
-    :param refused: whether the upstream's host was there and said that nobody listens
+    :param refused: whether the upstream's host refused the connection, so that it is
+        reachable but nothing listens there
     """
 
     reason: str
@@ -48,9 +49,9 @@
 
 @dataclass(frozen=True, slots=True)
 class NotRun:
-    """The upstream turned the request away.
+    """The upstream rejected the request without running it.
 
-    :param misdirected: another upstream has the address now
+    :param misdirected: whether another upstream now has the address
     """
 
     status: int
@@ -59,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answered:
-    """The upstream's whole answer, which has not been passed on."""
+    """A complete response, which has not been forwarded yet."""
 
     head: ResponseHead
     body: bytes
@@ -67,18 +68,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Streamed:
-    """A whole stream, which has been passed on."""
+    """A complete stream, which has been forwarded."""
 
     events: int
 
 
 @dataclass(frozen=True, slots=True)
 class Lost:
-    """The request may have run; its answer is not whole.
+    """The request may have run, but its response is incomplete or invalid.
 
-    :param silent: the upstream said nothing for too long and was given up
-    :param broken: its connection broke
-    :param streamed: seconds for which events had been coming, 0 if none came
+    :param silent: whether the upstream sent nothing for too long
+    :param broken: whether its connection broke
+    :param streamed: seconds since the first event, 0 if none arrived
     """
 
     reason: str
@@ -89,64 +90,74 @@
 
 @dataclass(frozen=True, slots=True)
 class Stopped:
-    """This instance ended the attempt: the caller has gone, or the time is up."""
+    """This instance ended the attempt: the caller left, or its deadline passed.
+
+    :param sent: whether the request was sent
+    """
 
     sent: bool
 
 
+# The lower-case names of these classes are labels of a metric.
 Outcome: TypeAlias = Unsent | NotRun | Answered | Streamed | Lost | Stopped
 
 
 @dataclass(slots=True)
 class StreamProgress:
-    """What a caller has got of a stream, over all attempts.
+    """What a caller has received of a stream, over all attempts.
 
-    :ivar longest_pause: seconds between two events, the most so far
+    :ivar started: whether the response's head was sent
+    :ivar longest_pause: longest time between two events so far, in seconds
     """
 
     reader: EventReader
     started: bool = False
     longest_pause: float = 0.0
-    _last_event: float | None = None
+    _last_event_at: float | None = None
 
     def note_events(self, now: float) -> float | None:
-        """Note that events came.
+        """Note that events arrived.
 
-        :returns: seconds since those before, ``None`` if these are the first
+        :returns: seconds since the previous ones, ``None`` if these are the first
         """
-        before, self._last_event = self._last_event, now
-        if before is None:
+        previous, self._last_event_at = self._last_event_at, now
+        if previous is None:
             return None
-        pause = now - before
+        pause = now - previous
         self.longest_pause = max(self.longest_pause, pause)
         return pause
 
 
 class UpstreamListener(ABC):
-    """What is told of an upstream while an attempt is under way there."""
+    """Observes an upstream while an attempt is in progress there."""
 
     @abstractmethod
     def on_data(self) -> None:
-        """Learn that something came from it."""
+        """Handle the arrival of any data."""
 
     @abstractmethod
     def on_response(self) -> None:
-        """Learn that it answers the request, so that it has read its prompt."""
+        """Handle a response to the request, whose prompt is therefore prefilled."""
 
     @abstractmethod
     def on_pause(self, seconds: float) -> None:
-        """Learn how long two events of the attempt lay apart."""
+        """Handle a pause between two events.
+
+        :param seconds: length of the pause
+        """
 
     @abstractmethod
     def on_signals(self, signals: UpstreamSignals) -> None:
-        """Learn what its answer says of it; only this upstream can have said it."""
+        """Handle the signals of a response that is certainly from this upstream."""
 
 
 class Attempt(ExchangeListener):
-    """Sends a request to one upstream and waits for what comes of it.
+    """Sends a request to one upstream and waits for the outcome.
 
-    :param attempt: the caller's name for its try, which the answer must echo
-    :param progress: set for routes whose answers are streams
+    :param attempt: the caller's identifier of its attempt, which the response must echo
+    :param response: the caller's response, to which a stream is forwarded
+    :param progress: set for routes whose responses are streams
+    :param upstream: observer of the upstream
     """
 
     def __init__(
@@ -170,12 +181,12 @@
         self._not_run: NotRun | None = None
         self._body: list[bytes] = []
         self._streaming = False
-        self._first_event: float | None = None
+        self._first_event_at: float | None = None
         self._events_before = 0
-        self._watch: IDelayedCall | None = None
-        self._judging = False
-        self._patience = 0.0
-        self._may_leave: Callable[[], bool] | None = None
+        self._silence_timer: IDelayedCall | None = None
+        self._checking_silence = False
+        self._silence_seconds = 0.0
+        self._may_retry: Callable[[], bool] | None = None
 
     def run(
         self,
@@ -183,7 +194,11 @@
         address: Address,
         request: tuple[bytes, bytes, HeaderList, bytes],
     ) -> Deferred[Outcome]:
-        """Send the request; the deferred fires once."""
+        """Send the request.
+
+        :param request: method, target, headers and body
+        :returns: fires once, with the outcome
+        """
         if self._progress is not None:
             self._events_before = self._progress.reader.count
         method, target, headers, body = request
@@ -191,42 +206,42 @@
         pool.start(address, self._exchange)
         return self._result
 
-    def give_up_after(self, seconds: float, may_leave: Callable[[], bool]) -> None:
-        """Give the upstream up once it was silent for some seconds.
+    def watch_silence(self, seconds: float, may_retry: Callable[[], bool]) -> None:
+        """Abandon the upstream once it has sent nothing for some seconds.
 
-        :param may_leave: asked at that moment whether the request may go elsewhere
+        :param may_retry: called then; returns whether the request may be sent elsewhere
         """
-        self._patience = seconds
-        self._may_leave = may_leave
-        self._watch = self._clock.callLater(seconds, self._notice_silence)
+        self._silence_seconds = seconds
+        self._may_retry = may_retry
+        self._silence_timer = self._clock.callLater(seconds, self._on_silence)
 
     def stop(self) -> None:
-        """End the attempt at once."""
+        """End the attempt immediately."""
         sent = self._exchange is not None and self._exchange.sent
         self._end(Stopped(sent), cancel=True)
 
     def on_head(self, head: ResponseHead) -> None:
-        """Judge the head of the answer."""
-        self._touch()
+        """Check whether the response is valid and belongs to the request."""
+        self._note_activity()
         metadata = self._border.read_response(head)
         if metadata.not_run or metadata.attempt == self._attempt:
-            self._take_signals(metadata)
+            self._report_signals(metadata)
         if metadata.not_run or metadata.misdirected:
             self._not_run = NotRun(head.status, metadata.misdirected)
             return
         if metadata.attempt != self._attempt:
-            self._lose("an answer to another request")
+            self._fail("a response to another request")
             return
-        if head.status in SUCCESS and not metadata.signed:
-            self._lose("a success that no upstream vouches for")
+        if head.status in SUCCESS_STATUSES and not metadata.signed:
+            self._fail("a success without an upstream's signature")
             return
         self._upstream.on_response()
         self._head = head
-        self._streaming = self._progress is not None and head.status in SUCCESS
+        self._streaming = self._progress is not None and head.status in SUCCESS_STATUSES
 
     def on_body(self, data: bytes) -> None:
-        """Pass whole events on, or keep a piece of a plain answer."""
-        self._touch()
+        """Forward complete events, or keep a part of a plain response."""
+        self._note_activity()
         if not self._streaming:
             self._body.append(data)
             return
@@ -234,27 +249,27 @@
         if progress is None:
             return
         try:
-            whole = progress.reader.feed(data)
+            events = progress.reader.feed(data)
         except StreamOrderError as error:
-            self._lose(f"events out of order: {error}")
+            self._fail(f"events out of order: {error}")
             return
-        if whole:
+        if events:
             now = self._clock.seconds()
             pause = progress.note_events(now)
-            # A pause that began at another upstream says nothing of this one.
-            if pause is not None and self._first_event is not None:
+            # A pause that began at another upstream is no measure of this one.
+            if pause is not None and self._first_event_at is not None:
                 self._upstream.on_pause(pause)
-            if self._first_event is None:
-                self._first_event = now
-            self._pass_on(whole, progress)
+            if self._first_event_at is None:
+                self._first_event_at = now
+            self._forward(events, progress)
 
     def on_end(self) -> None:
-        """Learn that the answer is whole."""
+        """Finish the attempt with a complete response."""
         if self._not_run is not None:
             self._end(self._not_run)
             return
         if self._head is None:
-            self._end(Lost("an answer without a head"))
+            self._end(Lost("a response without a head"))
             return
         if not self._streaming:
             self._end(Answered(self._head, b"".join(self._body)))
@@ -264,75 +279,79 @@
             self._end(Lost("a stream that ends within an event"))
             return
         if not progress.started:
-            self._pass_on(b"", progress)
+            self._forward(b"", progress)
         self._end(Streamed(progress.reader.count))
 
     def on_error(self, error: BrokenExchangeError) -> None:
-        """Learn that no whole answer will come."""
+        """Finish the attempt without a complete response."""
         if not error.sent:
             self._end(Unsent(str(error), error.refused))
         elif self._not_run is not None:
             self._end(self._not_run)
         else:
-            self._end(Lost(str(error), broken=True, streamed=self._streamed()))
+            self._end(Lost(str(error), broken=True, streamed=self._streaming_seconds()))
 
-    def _take_signals(self, metadata: ResponseMetadata) -> None:
-        # An address may have gone to another upstream, whose signs these are then.
+    def _report_signals(self, metadata: ResponseMetadata) -> None:
+        # If another upstream has the address, the signals are that upstream's.
         if not metadata.misdirected:
             self._upstream.on_signals(metadata.signals)
 
-    def _streamed(self) -> float:
-        """Return the seconds for which events have been coming."""
-        if self._first_event is None:
+    def _streaming_seconds(self) -> float:
+        """Return the seconds since the first event, 0 if none has arrived."""
+        if self._first_event_at is None:
             return 0.0
-        return self._clock.seconds() - self._first_event
+        return self._clock.seconds() - self._first_event_at
 
-    def _pass_on(self, whole: bytes, progress: StreamProgress) -> None:
+    def _forward(self, events: bytes, progress: StreamProgress) -> None:
         if progress.started:
-            self._response.send(whole)
+            self._response.send(events)
             return
         if self._head is None:
             return
         progress.started = True
         headers = drop_connection_headers(self._head.headers)
-        self._response.begin(self._head.status, headers, whole)
+        self._response.begin(self._head.status, headers, events)
 
-    def _lose(self, reason: str) -> None:
+    def _fail(self, reason: str) -> None:
         self._end(Lost(reason), cancel=True)
 
-    def _touch(self) -> None:
+    def _note_activity(self) -> None:
         self._upstream.on_data()
-        if self._watch is None or not self._watch.active():
+        if self._silence_timer is None or not self._silence_timer.active():
             return
-        if self._judging:
-            self._judging = False
-            self._watch.cancel()
-            self._watch = self._clock.callLater(self._patience, self._notice_silence)
+        if self._checking_silence:
+            self._checking_silence = False
+            self._silence_timer.cancel()
+            self._silence_timer = self._clock.callLater(
+                self._silence_seconds, self._on_silence
+            )
         else:
-            self._watch.reset(self._patience)
+            self._silence_timer.reset(self._silence_seconds)
 
-    def _notice_silence(self) -> None:
-        # After the process stood still time-outs come before what has arrived meanwhile
-        # is read, so the upstream is judged a turn later.
-        self._judging = True
-        self._watch = self._clock.callLater(0, self._judge_silence)
+    def _on_silence(self) -> None:
+        # After a stall of the process timers fire before waiting data is read, so the
+        # decision is deferred by one turn of the event loop.
+        self._checking_silence = True
+        self._silence_timer = self._clock.callLater(0, self._handle_silence)
 
-    def _judge_silence(self) -> None:
-        self._judging = False
+    def _handle_silence(self) -> None:
+        self._checking_silence = False
         if self._exchange is not None and not self._exchange.sent:
-            # There is no connection yet: nothing can have run, and to try elsewhere
-            # costs no further attempt.
+            # Without a connection nothing can have run, so a retry does not count as a
+            # further attempt.
             self._end(Unsent("no connection in time"), cancel=True)
             return
-        if self._may_leave is not None and self._may_leave():
-            lost = Lost("silent", silent=True, streamed=self._streamed())
+        if self._may_retry is not None and self._may_retry():
+            lost = Lost("silent", silent=True, streamed=self._streaming_seconds())
             self._end(lost, cancel=True)
             return
-        self._watch = self._clock.callLater(self._patience, self._notice_silence)
+        self._silence_timer = self._clock.callLater(
+            self._silence_seconds, self._on_silence
+        )
 
     def _end(self, outcome: Outcome, *, cancel: bool = False) -> None:
-        if self._watch is not None and self._watch.active():
-            self._watch.cancel()
+        if self._silence_timer is not None and self._silence_timer.active():
+            self._silence_timer.cancel()
         if cancel and self._exchange is not None:
             self._exchange.cancel()
         if self._progress is not None:
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/border.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/border.py
@@ -1,4 +1,4 @@
-"""The border: what a platform's names, formats and calls are, as a plug-in."""
+"""The border: plug-in for the names, formats and interfaces of a platform."""
 
 from __future__ import annotations
 
@@ -30,10 +30,10 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreNames:
-    """Where things lie in the store.
+    """Names in the store.
 
     :param configuration: table and key of the operators' configuration
-    :param upstreams: table of the upstreams
+    :param upstreams: table that lists the upstreams
     """
 
     configuration: tuple[str, str]
@@ -41,7 +41,11 @@
 
 
 class Border(ABC):
-    """Translates between a platform and the relay; it decides nothing."""
+    """Translates between a platform's formats and the relay's types.
+
+    :cvar store_names: where the configuration and the upstreams are stored
+    :cvar ready_path: path of readiness probes
+    """
 
     store_names: StoreNames
     ready_path: bytes
@@ -50,7 +54,7 @@
     def read_settings(self) -> RelaySettings:
         """Read this process's settings.
 
-        :raises InvalidInputError: with everything that is wrong in them
+        :raises InvalidInputError: if they are invalid; lists every error
         """
 
     @abstractmethod
@@ -62,52 +66,57 @@
     ) -> Store:
         """Return a client of the platform's store.
 
-        :param partitioned: names of the tables whose rows are partitions by themselves
+        :param partitioned: tables in which each row is its own partition
         """
 
     @abstractmethod
     def read_configuration(self, value: Mapping[str, Any]) -> RoutingConfiguration:
-        """Read the operators' configuration.
+        """Parse the operators' configuration.
 
-        :raises MalformedValueError: if it has another form
+        :raises MalformedValueError: if it is malformed
         """
 
     @abstractmethod
     def find_evacuated_domain(self, key: str) -> str | None:
-        """Return the domain that a row of the configuration's table asks to empty.
+        """Return the domain that a row of the configuration's table evacuates.
 
+        :param key: the row's key
         :returns: ``None`` for rows of another kind
         """
 
     @abstractmethod
     def read_upstream(self, name: str, value: Mapping[str, Any]) -> UpstreamRecord:
-        """Read an upstream's row.
+        """Parse an upstream's row.
 
-        :raises MalformedValueError: if it has another form
+        :raises MalformedValueError: if it is malformed
         """
 
     @abstractmethod
     def read_request(self, head: RequestHead) -> RequestMetadata:
-        """Read what a caller says of its request.
+        """Parse the headers of a caller's request.
 
-        :raises MalformedValueError: if a header has another form
+        :raises MalformedValueError: if a header is malformed
         """
 
     @abstractmethod
     def name_request(self, head: RequestHead) -> str:
-        """Return the caller's name for its request, empty if it gives none."""
+        """Return the caller's identifier of its request, empty if there is none."""
 
     @abstractmethod
     def write_request(self, headers: HeaderList, dispatch: Dispatch) -> HeaderList:
-        """Return the caller's headers with what the upstream has to be told."""
+        """Return the caller's headers together with those for the upstream."""
 
     @abstractmethod
     def read_response(self, head: ResponseHead) -> ResponseMetadata:
-        """Read what an upstream says of its answer."""
+        """Parse the headers of an upstream's response."""
 
     @abstractmethod
     def write_refusal(self, attempt: str, retry_after: float | None) -> HeaderList:
-        """Return the headers of an answer that the relay gives by itself."""
+        """Return the headers of a response that the relay sends itself.
+
+        :param attempt: the caller's identifier of its attempt, empty if unknown
+        :param retry_after: seconds after which the caller should retry
+        """
 
 
 BORDERS: Registry[Border] = Registry("border")
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/command.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/command.py
@@ -1,4 +1,4 @@
-"""The relay as a process."""
+"""Runs a relay as a process."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayOptions:
-    """What the command line says of a relay.
+    """Command-line options of a relay.
 
     :param border: module that registers a border under its own name
     :param check: only check the settings
-    :param reports_port: for metrics and dumps, ``None`` for none
-    :param policy: file that sets other than the usual mechanisms
+    :param reports_port: port of metrics and state dumps, ``None`` for none
+    :param policy: file that overrides the default policy
     """
 
     border: str
@@ -43,9 +43,9 @@
 
 
 def run_relay(options: RelayOptions) -> int:
-    """Run a relay until it is told to stop.
+    """Run a relay until a signal stops it.
 
-    :returns: 0 after a planned stop, 2 for invalid settings
+    :returns: 0 after a graceful stop, 2 for invalid settings
     """
     import_module(options.border)
     border = BORDERS.create(options.border)
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/components.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/components.py
@@ -1,4 +1,4 @@
-"""What the requests of one relay share."""
+"""Components that the requests of one relay share."""
 
 from __future__ import annotations
 
@@ -27,12 +27,13 @@
 
 @dataclass(slots=True)
 class RelayComponents:
-    """What requests share.
+    """Components that requests share.
 
-    :param list_age: returns the seconds since the list of upstreams was confirmed
-    :param announce_departure: tells peers that an upstream leaves
-    :param announce_load: tells peers what waits at an upstream, and which shared parts
-        it has read
+    :param list_age: returns the seconds since the list of upstreams was confirmed,
+        ``None`` if it never was
+    :param announce_departure: announces to peers that an upstream is leaving
+    :param announce_load: announces to peers the load of an upstream, and the shared
+        prompt parts that it has prefilled
     """
 
     clock: IReactorTime
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/connectioncheck.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/connectioncheck.py
@@ -1,4 +1,4 @@
-"""Whether a process still listens at an address."""
+"""Checks whether a process still listens at an address."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
     from pondquay.addresses import Address
 
 CONNECT_SECONDS = 0.5
-# A connection that stays for this long, in seconds, shows that a process listens. One
-# that is closed sooner shows nothing: its host may take it before the process ends, a
-# gateway may take it for one that is gone, and a busy upstream resets what is too many.
+# A connection that stays open this long shows that a process listens. An earlier close
+# is inconclusive: the process may be ending, a gateway may have accepted in its place,
+# or a busy upstream may reject excess connections.
 MIN_OPEN_SECONDS = 0.1
 
 
 class Listening(StrEnum):
-    """What a check has shown."""
+    """Result of a check."""
 
     YES = "yes"
     NO = "no"
@@ -35,58 +35,58 @@
 class _Connection(Protocol):
     """A connection on which nothing is sent.
 
-    :param on_shown: called with what it shows
+    :param on_result: called once with the result
     """
 
     def __init__(
-        self, clock: IReactorTime, on_shown: Callable[[Listening], None]
+        self, clock: IReactorTime, on_result: Callable[[Listening], None]
     ) -> None:
         self._clock = clock
-        self._on_shown = on_shown
+        self._on_result = on_result
         self._timer: IDelayedCall | None = None
 
     def connectionMade(self) -> None:
-        """Wait whether it stays."""
+        """Start to wait whether the connection stays open."""
         self._timer = self._clock.callLater(MIN_OPEN_SECONDS, self._end)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """Take in that the other side does not want it, or was about to end."""
+        """Report an early close, which is inconclusive."""
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
-            self._on_shown(Listening.UNKNOWN)
+            self._on_result(Listening.UNKNOWN)
 
     def _end(self) -> None:
         cast("Client", self.transport).abortConnection()
-        self._on_shown(Listening.YES)
+        self._on_result(Listening.YES)
 
 
 class ConnectionCheck(ClientFactory):
     """Opens one connection and closes it.
 
-    :param on_shown: called once with what came of it
+    :param on_result: called once with the result
     """
 
     noisy = False
 
     def __init__(
-        self, clock: IReactorTime, on_shown: Callable[[Listening], None]
+        self, clock: IReactorTime, on_result: Callable[[Listening], None]
     ) -> None:
         self._clock = clock
-        self._on_shown = on_shown
+        self._on_result = on_result
 
     @classmethod
     def start(
-        cls, reactor: Any, address: Address, on_shown: Callable[[Listening], None]
+        cls, reactor: Any, address: Address, on_result: Callable[[Listening], None]
     ) -> None:
-        """Check an address."""
-        check = cls(reactor, on_shown)
+        """Begin to check an address."""
+        check = cls(reactor, on_result)
         reactor.connectTCP(address.host, address.port, check, timeout=CONNECT_SECONDS)
 
     def buildProtocol(self, addr: IAddress | None) -> Protocol:
         """Return the protocol of the connection."""
-        return _Connection(self._clock, self._on_shown)
+        return _Connection(self._clock, self._on_result)
 
     def clientConnectionFailed(self, connector: object, reason: Failure) -> None:
-        """Tell a refusal, which only a host without the process gives, from silence."""
+        """Report a refused connection as not listening, other failures as unknown."""
         refused = reason.check(ConnectionRefusedError)
-        self._on_shown(Listening.NO if refused else Listening.UNKNOWN)
+        self._on_result(Listening.NO if refused else Listening.UNKNOWN)
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/contacts.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/contacts.py
@@ -1,4 +1,4 @@
-"""What an attempt tells of its upstream, handed to the parts that go by it."""
+"""Passes what an attempt learns of its upstream to the relay's components."""
 
 from __future__ import annotations
 
@@ -16,16 +16,17 @@
     from pondquay_daemon.relay.prefills import Prefill
 
 
-# Where the news came from, for the logs.
+# Source of an update, as logged.
 FROM_RESPONSE = "answer"
 
 
-class UpstreamContact(UpstreamListener):
-    """One attempt's upstream, in the life to which the request was sent.
+class UpstreamObserver(UpstreamListener):
+    """Observes one attempt's upstream.
 
-    :param prefill: the attempt's prompt there
-    :param max_pause: seconds between two events at which a stream is in time still,
-        ``None`` where the route gives no such bound
+    :param upstream: the incarnation to which the request is sent
+    :param prefill: the attempt's prompt at the upstream
+    :param max_pause: seconds that the route allows between two events of a stream,
+        ``None`` where it sets no limit
     """
 
     def __init__(
@@ -39,31 +40,31 @@
         self._upstream = upstream
         self._prefill = prefill
         self._max_pause = max_pause
-        self._placed_at = components.clock.seconds()
+        self._sent_at = components.clock.seconds()
 
     def on_data(self) -> None:
-        """Learn that something came from it."""
+        """Note that the upstream is reachable."""
         self._prefill.note_response()
 
     def on_response(self) -> None:
-        """Learn that it answers the request, so that it has read its prompt."""
+        """Note that the upstream responds, so the prompt has been prefilled."""
         self._prefill.note_prefilled()
 
     def on_pause(self, seconds: float) -> None:
-        """Learn how long two events of the attempt lay apart."""
+        """Record a pause between two events."""
         if self._max_pause is not None:
             now = self._components.clock.seconds()
             self._upstream.pauses.note(seconds, self._max_pause, now)
 
     def on_signals(self, signals: UpstreamSignals) -> None:
-        """Take in what the upstream says of itself."""
+        """Apply the upstream's cold time, back-off, rate limit and departure."""
         now = self._components.clock.seconds()
         if signals.cold:
             self._upstream.note_cold(signals.cold, now)
         if signals.backoff:
             directory = self._components.directory
             directory.note_backoff(
-                self._upstream, signals.backoff, self._reached_by(now)
+                self._upstream, signals.backoff, self._latest_delivery(now)
             )
             log_event(
                 "upstream-backoff",
@@ -72,22 +73,22 @@
             )
         if signals.tells_limit:
             self._components.permits.note_named(
-                self._upstream, signals.limit, self._placed_at, self._reached_by(now)
+                self._upstream, signals.limit, self._sent_at, self._latest_delivery(now)
             )
         else:
             log_event("limit-malformed", Level.WARNING, upstream=self._upstream.name)
         if signals.leaving:
-            self._note_leaving(self._reached_by(now))
+            self._note_leaving(self._latest_delivery(now))
 
-    def _reached_by(self, now: float) -> float:
-        """Return by when the request has reached the upstream, in seconds."""
-        return min(now, self._placed_at + CONNECT_SECONDS)
+    def _latest_delivery(self, now: float) -> float:
+        """Return the latest time at which the request arrived, in seconds."""
+        return min(now, self._sent_at + CONNECT_SECONDS)
 
     def _note_leaving(self, reached_by: float) -> None:
-        """Take in that it leaves, and tell peers.
+        """Note that the upstream is leaving, and announce it to peers.
 
-        While the table is away no row says so. Each instance that is not told finds
-        out by a request of its own, which may still run there when the upstream ends.
+        While the table is unreachable its row cannot show this. Without an announcement
+        each instance would learn it by losing a request there.
         """
         record = self._upstream.record
         directory = self._components.directory
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/errors.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/errors.py
@@ -6,18 +6,18 @@
 
 
 class RelayError(PondquayError):
-    """Base of the relay's errors."""
+    """Base class of the relay's errors."""
 
 
 class MalformedValueError(RelayError):
-    """A value of the store does not have the form that was agreed."""
+    """A value of the store, or a header, is malformed."""
 
 
 class BrokenExchangeError(RelayError):
-    """An exchange over HTTP ended without a whole answer.
+    """An HTTP exchange ended without a complete response.
 
     :param sent: whether any byte of the request was handed to the network
-    :param refused: whether the host was there and said that nobody listens
+    :param refused: whether the host refused the connection
     """
 
     def __init__(self, message: str, *, sent: bool, refused: bool = False) -> None:
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/heads.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/heads.py
@@ -1,4 +1,4 @@
-"""Heads of messages: which headers go further and which end at this connection."""
+"""Headers of HTTP messages, and which of them concern a single connection."""
 
 from __future__ import annotations
 
@@ -7,7 +7,8 @@
 if TYPE_CHECKING:
     from pondquay_daemon.relay.messages import HeaderList
 
-# RFC 9110, section 7.6.1; those about framing are written anew by each connection.
+# Hop-by-hop headers of RFC 9110, section 7.6.1, and framing headers, which each
+# connection writes itself.
 CONNECTION_HEADERS = frozenset(
     {
         b"connection",
@@ -24,42 +25,45 @@
     }
 )
 
-# Digits of a time-out that are read; more say no more.
+# Digits of a keep-alive time-out that are parsed; the rest is cut off.
 MAX_DIGITS = 9
 
 
 def drop_connection_headers(headers: HeaderList) -> HeaderList:
-    """Return the headers that concern more than one connection."""
+    """Return the headers without those that concern a single connection."""
     dropped = set(CONNECTION_HEADERS)
     for name, value in headers:
         if name.lower() == b"connection":
-            dropped.update(one.strip().lower() for one in value.split(b","))
+            dropped.update(token.strip().lower() for token in value.split(b","))
     return [(name, value) for name, value in headers if name.lower() not in dropped]
 
 
 def find_header(headers: HeaderList, name: bytes) -> bytes | None:
-    """Return the first header of a name, which is given in lower case."""
-    for one, value in headers:
-        if one.lower() == name:
+    """Return the value of the first header with a name, given in lower case."""
+    for header, value in headers:
+        if header.lower() == name:
             return value
     return None
 
 
 def list_values(headers: HeaderList, name: bytes) -> list[bytes]:
-    """Return the values of all headers of a name, which is given in lower case."""
-    return [value.strip() for one, value in headers if one.lower() == name]
+    """Return the values of all headers with a name, given in lower case."""
+    return [value.strip() for header, value in headers if header.lower() == name]
 
 
 def wants_close(headers: HeaderList) -> bool:
-    """Tell whether a message says that its connection ends after it."""
+    """Return whether a message asks to close its connection."""
     for name, value in headers:
         if name.lower() == b"connection":
-            return b"close" in [one.strip().lower() for one in value.split(b",")]
+            return b"close" in [token.strip().lower() for token in value.split(b",")]
     return False
 
 
 def keep_alive_seconds(headers: HeaderList) -> int | None:
-    """Return how long a connection may rest, where a message says so."""
+    """Return the seconds for which a message lets its connection be idle.
+
+    :returns: ``None`` if the message has no such header
+    """
     value = find_header(headers, b"keep-alive")
     if value is None:
         return None
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/ingress.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/ingress.py
@@ -1,4 +1,4 @@
-"""Connections of callers: requests read whole, answers written as they come."""
+"""Connections of callers, which read complete requests and write responses."""
 
 from __future__ import annotations
 
@@ -25,38 +25,41 @@
 REQUEST_TIMEOUT = 408
 BODY_TOO_LARGE = 413
 HEAD_TOO_LARGE = 431
-READ_AHEAD_BYTES = 1 << 20
+MAX_READ_AHEAD_BYTES = 1 << 20
 
 
 class RequestHandler(ABC):
-    """What is done with a request that has been read."""
+    """Handles requests that have been read."""
 
     @abstractmethod
     def handle(self, head: RequestHead, body: bytes, response: CallerResponse) -> None:
-        """Begin to answer a request."""
+        """Begin to serve a request."""
 
     @abstractmethod
     def limits(self) -> CallerLimits:
-        """Return what a caller may send now."""
+        """Return the current limits of requests."""
 
 
 class CallerResponse:
-    """The answer to one request, and whether its caller is still there.
+    """The response to one request.
 
-    :param arrived: when the first byte of the request was read, in seconds
-    :ivar began: when the first byte of the answer was written, in seconds
+    :param arrived_at: when the first byte of the request was read, in seconds
+    :ivar open: whether the caller is connected and the response incomplete
+    :ivar started: whether the head was sent
+    :ivar began_at: when the first byte of the response was written, in seconds
+    :ivar on_disconnect: called once if the caller disconnects
     """
 
-    def __init__(self, connection: IngressConnection, arrived: float) -> None:
+    def __init__(self, connection: IngressConnection, arrived_at: float) -> None:
         self._connection = connection
-        self.arrived = arrived
+        self.arrived_at = arrived_at
         self.open = True
         self.started = False
-        self.began: float | None = None
-        self.on_gone: Callable[[], None] | None = None
+        self.began_at: float | None = None
+        self.on_disconnect: Callable[[], None] | None = None
 
     def send_complete(self, status: int, headers: HeaderList, body: bytes) -> None:
-        """Send an answer that is known as a whole."""
+        """Send a complete response."""
         if not self.open:
             return
         framing = (
@@ -68,38 +71,38 @@
         self.finish()
 
     def begin(self, status: int, headers: HeaderList, first: bytes = b"") -> None:
-        """Send the head of an answer, and perhaps the first bytes of its body."""
+        """Send the head of a response, and optionally the first bytes of its body."""
         if self.open:
             self.started = True
-            self.began = self._connection.write_head(status, headers, first)
+            self.began_at = self._connection.write_head(status, headers, first)
 
     def send(self, data: bytes) -> None:
-        """Send a piece of the body."""
+        """Send a part of the body."""
         if self.open:
             self._connection.write_data(data)
 
     def finish(self) -> None:
-        """End an answer that is whole."""
+        """End a complete response."""
         if self.open:
             self.open = False
             self._connection.finish_response()
 
-    def break_off(self) -> None:
-        """End the connection so that the answer cannot be taken as whole."""
+    def abort(self) -> None:
+        """Reset the connection, so that the response cannot seem complete."""
         if self.open:
             self.open = False
             self._connection.abort()
 
-    def lose(self) -> None:
-        """Learn that the caller has gone."""
+    def note_disconnected(self) -> None:
+        """Note that the caller has disconnected."""
         if self.open:
             self.open = False
-            if self.on_gone is not None:
-                self.on_gone()
+            if self.on_disconnect is not None:
+                self.on_disconnect()
 
 
 class IngressConnection(Protocol):
-    """One caller's connection: one request after the other."""
+    """A caller's connection, which carries one request after another."""
 
     def __init__(
         self, clock: IReactorTime, handler: RequestHandler, server: IngressServer
@@ -122,35 +125,37 @@
 
     @property
     def idle(self) -> bool:
-        """Whether nothing has been read of a request, and none is answered."""
+        """Whether no request is being read or served."""
         return self._arrived is None and self._response is None
 
     def connectionMade(self) -> None:
-        """Wait for the first request."""
+        """Start to wait for the first request."""
         self._server.connections.add(self)
         cast("Server", self.transport).setTcpNoDelay(True)
-        self._wait(self._handler.limits().idle_timeout, self._end_idle)
+        self._start_timer(self._handler.limits().idle_timeout, self._on_idle_timeout)
 
     def dataReceived(self, data: bytes) -> None:
-        """Take bytes of a request; what follows a refused one is not read."""
+        """Process bytes of requests; those after a refused request are ignored."""
         if self._refused:
             return
         if self._arrived is None and self._response is None:
             self._arrived = self._clock.seconds()
-            self._wait(self._handler.limits().header_timeout, self._end_slow)
+            self._start_timer(
+                self._handler.limits().header_timeout, self._on_read_timeout
+            )
         self._http.receive_data(data)
         if self._response is None:
             self._read_events()
-        elif len(self._http.trailing_data[0]) > READ_AHEAD_BYTES:
+        elif len(self._http.trailing_data[0]) > MAX_READ_AHEAD_BYTES:
             self.abort()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """Learn that the caller has gone."""
+        """Note that the caller has disconnected."""
         self._server.connections.discard(self)
         self._stop_timer()
         response, self._response = self._response, None
         if response is not None:
-            response.lose()
+            response.note_disconnected()
 
     def abort(self) -> None:
         """Reset the connection."""
@@ -158,28 +163,31 @@
         cast("Server", self.transport).abortConnection()
 
     def close(self) -> None:
-        """Close the connection after what has been written."""
+        """Close the connection once all written data is sent."""
         cast("Server", self.transport).loseConnection()
 
     def write_head(self, status: int, headers: HeaderList, first: bytes) -> float:
-        """Write the head of an answer; return when."""
+        """Write the head of a response.
+
+        :returns: the time of writing, in seconds
+        """
         if self._server.stopping:
             headers = [*headers, (b"Connection", b"close")]
         head = self._http.send(h11.Response(status_code=status, headers=headers))
-        parts = [head or b""]
+        chunks = [head or b""]
         if first:
-            parts.append(self._http.send(h11.Data(data=first)) or b"")
-        cast("Server", self.transport).writeSequence(parts)
+            chunks.append(self._http.send(h11.Data(data=first)) or b"")
+        cast("Server", self.transport).writeSequence(chunks)
         return self._clock.seconds()
 
     def write_data(self, data: bytes) -> None:
-        """Write a piece of an answer's body."""
+        """Write a part of a response's body."""
         if not self._no_body:
             out = self._http.send(h11.Data(data=data))
             cast("Server", self.transport).write(out or b"")
 
     def finish_response(self) -> None:
-        """Write the end of an answer and go on to the next request."""
+        """Write the end of a response and continue with the next request."""
         out = self._http.send(h11.EndOfMessage())
         self._response = None
         if out:
@@ -191,7 +199,7 @@
             return
         self._http.start_next_cycle()
         self._arrived = None
-        self._wait(self._handler.limits().idle_timeout, self._end_idle)
+        self._start_timer(self._handler.limits().idle_timeout, self._on_idle_timeout)
         if self._http.trailing_data[0]:
             self._arrived = self._clock.seconds()
             self._clock.callLater(0, self._read_events)
@@ -204,25 +212,27 @@
                 self._refuse(error.error_status_hint)
                 return
             if event is h11.NEED_DATA or event is h11.PAUSED:
-                self._invite_body()
+                self._send_continue()
                 return
             if isinstance(event, h11.ConnectionClosed):
                 self.close()
                 return
-            self._take(event)
+            self._handle_event(event)
 
-    def _take(self, event: object) -> None:
+    def _handle_event(self, event: object) -> None:
         if isinstance(event, h11.Request):
             headers = event.headers.raw_items()
-            if _ambiguous(headers):
+            if _has_ambiguous_length(headers):
                 self._refuse(BAD_REQUEST)
                 return
             self._head = RequestHead(event.method, event.target, headers)
             self._no_body = event.method == b"HEAD"
             self._body = []
             self._size = 0
-            # The head is in time; a long body may take as long as a rest.
-            self._wait(self._handler.limits().idle_timeout, self._end_slow)
+            # The time limit of heads does not apply to the body.
+            self._start_timer(
+                self._handler.limits().idle_timeout, self._on_read_timeout
+            )
         elif isinstance(event, h11.Data):
             self._size += len(event.data)
             if self._size > self._handler.limits().body_bytes:
@@ -242,7 +252,7 @@
         self._response = CallerResponse(self, self._arrived)
         self._handler.handle(head, body, self._response)
 
-    def _invite_body(self) -> None:
+    def _send_continue(self) -> None:
         if self._http.they_are_waiting_for_100_continue:
             out = self._http.send(
                 h11.InformationalResponse(status_code=100, headers=[])
@@ -250,7 +260,7 @@
             cast("Server", self.transport).write(out or b"")
 
     def _refuse(self, status: int) -> None:
-        """Answer what cannot be a request, and close."""
+        """Send an error response to an invalid request, and close the connection."""
         self._refused = True
         self._stop_timer()
         if self._http.our_state in (h11.IDLE, h11.SEND_RESPONSE):
@@ -261,19 +271,19 @@
         self._response = None
         self.close()
 
-    def _wait(self, seconds: float, then: Callable[[], None]) -> None:
+    def _start_timer(self, seconds: float, callback: Callable[[], None]) -> None:
         self._stop_timer()
-        self._timer = self._clock.callLater(seconds, then)
+        self._timer = self._clock.callLater(seconds, callback)
 
     def _stop_timer(self) -> None:
         timer, self._timer = self._timer, None
         if timer is not None and timer.active():
             timer.cancel()
 
-    def _end_idle(self) -> None:
+    def _on_idle_timeout(self) -> None:
         self.close()
 
-    def _end_slow(self) -> None:
+    def _on_read_timeout(self) -> None:
         self._refuse(REQUEST_TIMEOUT)
 
 
@@ -293,19 +303,19 @@
         return IngressConnection(self._clock, self._handler, self)
 
     @property
-    def busy(self) -> bool:
-        """Whether any request is being read or answered."""
-        return any(not one.idle for one in self.connections)
+    def has_open_requests(self) -> bool:
+        """Whether any request is being read or served."""
+        return any(not connection.idle for connection in self.connections)
 
     def close_idle(self) -> None:
-        """Close the connections on which nothing happens."""
+        """Close the idle connections."""
         for connection in list(self.connections):
             if connection.idle:
                 connection.close()
 
 
-def _ambiguous(headers: HeaderList) -> bool:
-    """Tell whether two readers could find different ends of the request."""
+def _has_ambiguous_length(headers: HeaderList) -> bool:
+    """Return whether two parsers could find different ends of the request."""
     if find_header(headers, b"transfer-encoding") is None:
         return False
     return find_header(headers, b"content-length") is not None
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/messages.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/messages.py
@@ -1,4 +1,4 @@
-"""What passes through the relay, whatever names it has on the wire."""
+"""Messages that pass through the relay, independent of their wire format."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestHead:
-    """The head of a caller's request as it came.
+    """The head of a caller's request as received.
 
-    :param headers: names as they were written, in order
+    :param headers: with names as written, in order
     """
 
     method: bytes
@@ -28,20 +28,22 @@
         return self.target.partition(b"?")[0].decode("latin-1")
 
     def find(self, name: bytes) -> bytes | None:
-        """Return the first header of a name, which is given in lower case."""
-        for one, value in self.headers:
-            if one.lower() == name:
+        """Return the value of the first header with a name, given in lower case."""
+        for header, value in self.headers:
+            if header.lower() == name:
                 return value
         return None
 
 
 @dataclass(frozen=True, slots=True)
 class RequestMetadata:
-    """What a caller's headers say of its request.
+    """Metadata from the headers of a caller's request.
 
-    :param attempt: the caller's name for this try
-    :param deadline: seconds that the caller will wait, ``None`` if it does not say
-    :param last_event: number of the last event that the caller has
+    :param attempt: the caller's identifier of this attempt
+    :param key: the caller's key, ``None`` if it sent none
+    :param deadline: seconds that the caller will wait, ``None`` if unknown
+    :param prefix: shared parts at the start of the prompt
+    :param last_event: number of the last event that the caller has received
     """
 
     attempt: str
@@ -55,18 +57,20 @@
 
     @property
     def max_tokens(self) -> int:
-        """The most tokens that one run can cost."""
+        """The maximum number of tokens that one run can cost."""
         return self.prompt_tokens + self.output_tokens
 
 
 @dataclass(frozen=True, slots=True)
 class Dispatch:
-    """What an upstream is told beside the caller's own headers.
-
-    :param remaining: seconds that are left
-    :param workspace: holder of the caller's key
-    :param resume_after: number of the last event that the caller has, if it goes on
-    :param copy_from: address of an upstream that has read more of the prompt
+    """Metadata that an upstream receives in addition to the caller's headers.
+
+    :param upstream: name of the upstream that the request is for
+    :param remaining: seconds until the caller's deadline
+    :param workspace: owner of the caller's key, ``None`` where no key is needed
+    :param resume_after: number of the last event that the caller has received, if a
+        stream is resumed
+    :param copy_from: address of an upstream that has more of the prompt in its cache
     """
 
     upstream: str
@@ -79,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseHead:
-    """The head of an upstream's answer."""
+    """The head of an upstream's response."""
 
     status: int
     reason: bytes
@@ -88,15 +92,15 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamSignals:
-    """What an upstream says of itself in an answer.
-
-    :param leaving: whether it will end soon and wants no new work
-    :param cold: seconds for which it still bears few requests
-    :param backoff: seconds for which it wants no request from this instance
-    :param limit: requests a second that it takes from all instances together, ``None``
-        if it names none that can be read
-    :param tells_limit: whether the answer tells if there is a limit; one that names it
-        in a form that cannot be read does not
+    """What an upstream reports about itself in a response.
+
+    :param leaving: whether it stops soon and accepts no new work
+    :param cold: seconds for which it can still serve only few requests
+    :param backoff: seconds for which it accepts no request from this instance
+    :param limit: requests per second that it accepts from all instances together,
+        ``None`` if the response has no valid limit
+    :param tells_limit: whether the response shows if there is a limit; a response with
+        a malformed limit does not
     """
 
     leaving: bool = False
@@ -111,12 +115,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseMetadata:
-    """What an upstream's headers say of its answer and of itself.
+    """Metadata from the headers of an upstream's response.
 
-    :param attempt: the request that it is for, empty if it does not say
-    :param signed: whether an upstream vouches for it
+    :param attempt: identifier of the attempt that it responds to, empty if unknown
+    :param signed: whether it has an upstream's signature
     :param not_run: whether the request certainly did not run
     :param misdirected: whether another upstream has the address
+    :param signals: what the upstream reports about itself
     """
 
     attempt: str
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/metrics.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/metrics.py
@@ -1,4 +1,4 @@
-"""Counters and histograms of one relay, in Prometheus' text format."""
+"""Metrics of a relay, in the Prometheus text format."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 
 
 class RelayMetrics:
-    """What a relay counts. Label values are few and known beforehand.
+    """The metrics of one relay. All label values come from small fixed sets.
 
-    :param left_out: log lines that were not written, by kind
+    :param left_out: numbers of log lines that were not written, by event
     """
 
     def __init__(self, left_out: Counts[str]) -> None:
@@ -43,8 +43,10 @@
             ["event"],
             registry=self.registry,
         )
-        self.first = self._histogram("first_byte", "To the first byte of an answer")
-        self.whole = self._histogram("request", "To the end of an answer")
+        self.first_byte = self._histogram(
+            "first_byte", "To the first byte of an answer"
+        )
+        self.duration = self._histogram("request", "To the end of an answer")
         self.version = self._gauge("configuration_version", "Version in force here")
         self.store_up = self._gauge("store_up", "1 if the store answers")
         self.peers = self._gauge("peers", "Instances to which a link is open")
@@ -76,20 +78,21 @@
     def note_end(self, status: str, seconds: float, first: float | None) -> None:
         """Count a request that has ended.
 
-        :param status: of the answer, or why there was none
+        :param status: status of the response, or how the request ended without one
+        :param seconds: duration of the request
         :param first: seconds to the first byte, ``None`` if none was sent
         """
         self.requests.labels(status).inc()
-        self.whole.observe(seconds)
+        self.duration.observe(seconds)
         if first is not None:
-            self.first.observe(first)
+            self.first_byte.observe(first)
 
     def note_refused(self, reason: Refused) -> None:
-        """Count a request for which there are no tokens."""
+        """Count a request that is refused for lack of tokens."""
         self.refusals.labels(reason.value).inc()
 
     def render(self) -> bytes:
-        """Return all figures as text."""
+        """Return all metrics as text."""
         for event, count in self._left_out.items():
             self.lines.labels(event).set(count)
         return generate_latest(self.registry)
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/placement.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/placement.py
@@ -1,4 +1,4 @@
-"""Which upstream a request is sent to."""
+"""Choice of the upstream that a request is sent to."""
 
 from __future__ import annotations
 
@@ -27,9 +27,10 @@
 
 @dataclass(frozen=True, slots=True)
 class NoUpstream:
-    """Why no upstream may get a request now.
+    """Reason why no upstream can receive a request at present.
 
-    :param retry_after: seconds after which one may, ``None`` if nothing tells
+    :param retry_after: seconds after which an upstream is available, ``None`` if
+        unknown
     """
 
     reason: str
@@ -37,7 +38,10 @@
 
 
 class Placement:
-    """Chooses upstreams by what their caches hold and by how they behave."""
+    """Chooses upstreams by their cached prompts, load and availability.
+
+    :param domain: failure domain of this instance, whose upstreams are preferred
+    """
 
     def __init__(
         self,
@@ -60,28 +64,35 @@
         service: str,
         prefix: tuple[PromptPart, ...],
         tried: Collection[str],
-        unreached: Collection[str] = (),
+        unreachable_domains: Collection[str] = (),
     ) -> KnownUpstream | None:
         """Return an upstream that was not tried yet, ``None`` if there is none.
 
-        :param unreached: domains in which the request found no connection; others come
-            first
+        :param tried: names of the upstreams that were tried
+        :param unreachable_domains: domains in which the request could not connect;
+            upstreams of other domains are preferred
         """
         now = self._clock.seconds()
         candidates = self._list_usable(service, tried, now)
         if not candidates:
             return None
-        sound = [one for one in candidates if self._is_healthy(one, now)]
-        elsewhere = [one for one in sound if one.record.domain not in unreached]
-        chosen = self._choose_of(elsewhere or sound or candidates, prefix, now)
+        healthy = [
+            upstream for upstream in candidates if self._is_healthy(upstream, now)
+        ]
+        reachable = [
+            upstream
+            for upstream in healthy
+            if upstream.record.domain not in unreachable_domains
+        ]
+        chosen = self._choose_from(reachable or healthy or candidates, prefix, now)
         chosen.sent_at = now
         return chosen
 
-    def note_unreached(self, upstream: KnownUpstream, *, refused: bool) -> None:
-        """Learn that no connection to an upstream could be made.
+    def note_connect_failure(self, upstream: KnownUpstream, *, refused: bool) -> None:
+        """Note that no connection to an upstream could be established.
 
-        :param refused: whether its host said that nobody listens: the upstream has
-            ended, and its domain is there
+        :param refused: whether its host refused; if so, the upstream has stopped and
+            its domain is reachable
         """
         now = self._clock.seconds()
         upstream.circuit.trip(now)
@@ -89,44 +100,44 @@
             reach = self._directory.reach
             reach.note_failed(upstream.record.domain, upstream.name, now)
 
-    def explain_none(self, service: str, tried: Collection[str]) -> NoUpstream:
+    def explain_no_upstream(self, service: str, tried: Collection[str]) -> NoUpstream:
         """Return why there is no upstream for a request."""
         now = self._clock.seconds()
         candidates = self._directory.candidates(service)
-        if candidates and all(one.in_backoff(now) for one in candidates):
-            first = min(one.backoff_until for one in candidates)
+        if candidates and all(upstream.in_backoff(now) for upstream in candidates):
+            first = min(upstream.backoff_until for upstream in candidates)
             return NoUpstream("all upstreams asked to back off", first - now)
         if self._directory.evacuations.evacuated:
             return NoUpstream("no upstream in the domains that are not emptied")
-        left = [
-            one
-            for one in candidates
-            if one.name not in tried and not one.in_backoff(now)
+        remaining = [
+            upstream
+            for upstream in candidates
+            if upstream.name not in tried and not upstream.in_backoff(now)
         ]
-        retry_after = self._permits.plan_return(left)
+        retry_after = self._permits.plan_return(remaining)
         if retry_after is not None:
             return NoUpstream("no upstream below its limit", retry_after)
-        if left:
+        if remaining:
             return NoUpstream("no upstream that is warm")
         return NoUpstream("no upstream")
 
     def _list_usable(
         self, service: str, tried: Collection[str], now: float
     ) -> list[KnownUpstream]:
-        """Return those that may get the request, whether they answer or not.
+        """Return the upstreams that may receive the request, healthy or not.
 
-        One that asked to back off runs nothing, so it would seem the least loaded of
-        all, and take the tries of callers that others can serve.
+        Upstreams in back-off are excluded: they run nothing, so they would seem the
+        least loaded and use up the attempts of requests that others can serve.
         """
         return [
-            one
-            for one in self._directory.candidates(service)
-            if one.name not in tried
-            and not one.in_backoff(now)
-            and self._cold_shares.allows(one, now)
+            upstream
+            for upstream in self._directory.candidates(service)
+            if upstream.name not in tried
+            and not upstream.in_backoff(now)
+            and self._cold_shares.allows(upstream, now)
         ]
 
-    def _choose_of(
+    def _choose_from(
         self,
         candidates: list[KnownUpstream],
         prefix: tuple[PromptPart, ...],
@@ -138,28 +149,31 @@
         crowded = max(1, int(self._policy.crowded_part * candidates[0].record.slots))
         return choose_nearest(candidates, self._domain, crowded)
 
-    def find_source(
+    def find_copy_source(
         self, target: KnownUpstream, prefix: tuple[PromptPart, ...]
     ) -> KnownUpstream | None:
-        """Return an upstream from which another may copy what it has not read."""
+        """Return an upstream from which another may copy cached parts of a prompt.
+
+        :param target: the upstream that needs the parts
+        """
         if not self._policy.copy_parts:
             return None
         if count_missing_tokens(target, prefix) < MIN_COPIED_TOKENS:
             return None
         now = self._clock.seconds()
-        sound = [
-            one
-            for one in self._directory.candidates(target.record.service)
-            if self._is_healthy(one, now) and one.missing_since is None
+        healthy = [
+            upstream
+            for upstream in self._directory.candidates(target.record.service)
+            if self._is_healthy(upstream, now) and upstream.missing_since is None
         ]
-        return choose_source(target, sound, prefix)
+        return choose_source(target, healthy, prefix)
 
-    def has_other(self, service: str, tried: Collection[str]) -> bool:
-        """Tell whether a sound upstream is left that was not tried."""
+    def has_alternative(self, service: str, tried: Collection[str]) -> bool:
+        """Return whether another healthy upstream can be tried."""
         now = self._clock.seconds()
         return any(
-            self._is_healthy(one, now) and self._permits.can_supply(one)
-            for one in self._list_usable(service, tried, now)
+            self._is_healthy(upstream, now) and self._permits.can_supply(upstream)
+            for upstream in self._list_usable(service, tried, now)
         )
 
     def _is_healthy(self, upstream: KnownUpstream, now: float) -> bool:
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/policyfile.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/policyfile.py
@@ -1,4 +1,4 @@
-"""The file that switches a relay's mechanisms, for experiments.
+"""File that switches mechanisms of a relay on and off, for experiments.
 
 It is an INI file with a section ``[policy]``; its keys are the fields of
 :class:`~pondquay.policy.RelayPolicy`.
@@ -21,9 +21,9 @@
 
 
 def load_policy(path: Path) -> RelayPolicy:
-    """Read a file.
+    """Read a policy file.
 
-    :raises InvalidInputError: with everything that is wrong in it
+    :raises InvalidInputError: if it is invalid; lists every error
     """
     findings = Findings()
     try:
@@ -37,41 +37,44 @@
 
 
 def read_policy(text: str, source: str, findings: Findings) -> RelayPolicy:
-    """Read the file's text; what is not set is as usual.
+    """Parse a policy file; values that are not set keep their defaults.
 
-    :param source: the file's name
+    :param source: name of the file
+    :param findings: receives the errors
     """
     section = read_ini(text, source, findings).find(SECTION)
     if section is None:
         findings.add(source, SECTION, f"the section [{SECTION}] is missing")
         return DEFAULT_POLICY
-    usual = {one.name: getattr(DEFAULT_POLICY, one.name) for one in fields(RelayPolicy)}
+    defaults = {
+        field.name: getattr(DEFAULT_POLICY, field.name) for field in fields(RelayPolicy)
+    }
     values: dict[str, Any] = {}
-    for key, written in section.values.items():
-        place = section.describe_location(key)
-        if key not in usual:
-            findings.add(place, key, f"is not known{suggest_name(key, usual)}")
+    for key, value_text in section.values.items():
+        location = section.describe_location(key)
+        if key not in defaults:
+            findings.add(location, key, f"is not known{suggest_name(key, defaults)}")
             continue
         try:
-            values[key] = _read_value(written, usual[key])
+            values[key] = _read_value(value_text, defaults[key])
         except ValueError as error:
-            findings.add(place, key, str(error))
+            findings.add(location, key, str(error))
     return RelayPolicy(**values)
 
 
-def _read_value(written: str, usual: bool | float) -> bool | float:
-    """Read a value of the same kind as the usual one.
+def _read_value(text: str, default: bool | float) -> bool | float:
+    """Parse a value of the same type as the default one.
 
-    :raises ValueError: if it is of another kind
+    :raises ValueError: if it is of another type
     """
-    if isinstance(usual, bool):
-        if written not in SWITCHES:
+    if isinstance(default, bool):
+        if text not in SWITCHES:
             raise ValueError("must be on or off")
-        return SWITCHES[written]
+        return SWITCHES[text]
     try:
-        value = type(usual)(written)
+        value = type(default)(text)
     except ValueError:
-        kind = "a whole number" if isinstance(usual, int) else "a number"
+        kind = "a whole number" if isinstance(default, int) else "a number"
         raise ValueError(f"must be {kind}") from None
     if value < 0:
         raise ValueError("must not be negative")
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/prefills.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/prefills.py
@@ -1,4 +1,4 @@
-"""A request's prompt at one upstream: what is read there, what peers hear of it."""
+"""Accounting of a request's prompt at one upstream, which is announced to peers."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 
 class Prefill:
-    """Counts a request at an upstream, and its prompt until that has been read.
+    """Counts a request at an upstream, and its prompt until that is prefilled.
 
     :param prefix: the parts of its prompt
-    :param source: the upstream from which shared parts are copied before
+    :param source: the upstream from which shared parts are copied first, if any
     """
 
     def __init__(
@@ -31,14 +31,14 @@
         self._components = components
         self._upstream = upstream
         self._prefix = prefix
-        self._unread = upstream.prompts.count_uncached(prefix)
+        self._uncached = upstream.prompts.count_uncached(prefix)
         if source is not None:
-            self._unread = min(self._unread, source.prompts.count_uncached(prefix))
+            self._uncached = min(self._uncached, source.prompts.count_uncached(prefix))
 
     def __enter__(self) -> Prefill:
-        """Begin to count."""
+        """Start to count the request."""
         self._upstream.running += 1
-        self._upstream.prompts.own += self._unread
+        self._upstream.prompts.own += self._uncached
         self._components.announce_load(self._upstream, ())
         return self
 
@@ -48,31 +48,31 @@
         error: BaseException | None,
         traceback: TracebackType | None,
     ) -> None:
-        """Count no longer."""
+        """Stop counting the request."""
         self._upstream.running -= 1
-        self._end()
+        self._stop_waiting()
 
     def note_response(self) -> None:
-        """Learn that something came from the upstream, if only that it is full."""
+        """Note that the upstream sent something, be it a rejection."""
         self._upstream.last_seen_at = self._components.clock.seconds()
         self._components.directory.reach.note_response(self._upstream.record.domain)
 
     def note_prefilled(self) -> None:
-        """Learn that the prompt has been read.
+        """Note that the prompt has been prefilled, so its shared parts are cached.
 
-        What was turned away was not: taken for read, it would draw the next prompts
-        with the same parts to an upstream that has to read them first.
+        Must not be called for a rejected request, which would attract prompts with the
+        same parts to an upstream that has not cached them.
         """
-        if self._unread:
+        if self._uncached:
             new = self._upstream.prompts.note_prefilled(list_shared(self._prefix))
             if new:
                 self._components.announce_load(self._upstream, new)
-        self._end()
+        self._stop_waiting()
 
-    def _end(self) -> None:
-        """Note that the prompt no longer waits to be read there."""
-        if not self._unread:
+    def _stop_waiting(self) -> None:
+        """Stop counting the prompt as waiting for its prefill."""
+        if not self._uncached:
             return
-        self._upstream.prompts.own -= self._unread
-        self._unread = 0
+        self._upstream.prompts.own -= self._uncached
+        self._uncached = 0
         self._components.announce_load(self._upstream, ())
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/relay.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/relay.py
@@ -1,4 +1,4 @@
-"""The relay as a whole: its parts, its start and its planned stop."""
+"""The relay: its components, its start and its graceful stop."""
 
 from __future__ import annotations
 
@@ -57,30 +57,26 @@
     from pondquay_daemon.relay.metrics import RelayMetrics
     from pondquay_daemon.relay.settings import RelaySettings
 
-# What is not known is said not to exist only if the store confirmed it this lately, as
-# a part of the time in which a configuration must be in force.
-CURRENT_PART = 0.8
-# After the balancer is told, connections may still come for this long.
-BALANCER_SECONDS = 2.6
-# Kept free at the end of a planned stop, to hand allotments back.
+# A configuration counts as fresh for this fraction of the time in which a new one must
+# take effect. Only a fresh one proves that a route or key does not exist.
+FRESH_CONFIGURATION_FRACTION = 0.8
+# Time for which the balancer may still open connections after the stop begins.
+BALANCER_DRAIN_SECONDS = 2.6
+# Reserved at the end of a graceful stop, to return unspent tokens.
 RETURN_UNSPENT_SECONDS = 0.5
 STOP_STEP_SECONDS = 0.05
-# Seconds between two polls. A write that meets a newer row learns of it anyway. In a
-# large fleet an instance writes the rows of a few workspaces; of the others' it only
-# learns what lenders may have, and polls less often, since the store takes so many
-# calls of all instances.
-ALLOTMENTS_PAUSE = 0.3
-SELDOM_ALLOTMENTS_PAUSE = 3.0
-# Rows of upstreams change with each heartbeat, several a second in all, and a poll ends
-# with the first. The pause is a part of the time in which a leaving upstream may still
-# get work. Where that is long, the pause takes what is left beside the time for which a
-# vanished row counts and a second for a poll that is slow or is made again, so that a
-# poll brings a heartbeat of every upstream once, not in pieces.
-UPSTREAMS_PAUSE_PART = 0.125
+# Between two polls. In a large fleet most instances hold no allotments, so they poll
+# less often to limit the load on the store; a conflicting write returns the newer row.
+ALLOTMENTS_POLL_SECONDS = 0.3
+LARGE_FLEET_ALLOTMENTS_POLL_SECONDS = 3.0
+# Fraction of the departure bound between two polls of the upstreams. Each heartbeat
+# changes a row and ends a poll, so a long bound is used for one poll that covers all
+# heartbeats; see choose_upstreams_pause.
+UPSTREAMS_POLL_FRACTION = 0.125
 SLOW_POLL_SECONDS = 1.0
-MEMBERS_PAUSE = 2.0
-# Seconds after which a caller that is refused for the stop should ask another instance.
-ELSEWHERE = 0.1
+MEMBERS_POLL_SECONDS = 2.0
+# Delay after which a caller that a stopping instance refuses should retry elsewhere.
+STOPPING_RETRY_SECONDS = 0.1
 
 
 class Relay(RequestHandler):
@@ -98,8 +94,8 @@
         self._settings = settings
         self._metrics = metrics
         self._pool = EgressPool(reactor)
-        # Hundreds of instances start at once, and a partition takes some hundred writes
-        # a second, so each budget has its own.
+        # A partition takes only a few hundred writes per second, and a whole fleet may
+        # start at once, so each budget has its own partition.
         self._store = border.open_store(settings, reactor, frozenset({ALLOTMENTS}))
         directory = UpstreamDirectory(
             reactor.seconds, lambda: self._upstream_feed.confirmed
@@ -176,7 +172,7 @@
             ),
             permits,
         )
-        self._configuration = ConfigurationView(border, self._take_table)
+        self._configuration = ConfigurationView(border, self._apply_table)
         self._upstreams = UpstreamView(
             border,
             directory,
@@ -209,7 +205,7 @@
             self._upstreams,
             lambda: choose_upstreams_pause(bounds.departure),
         )
-        self._wake = WakeWatch(reactor, (self._feed, self._upstream_feed))
+        self._stall_monitor = WakeWatch(reactor, (self._feed, self._upstream_feed))
         self._feeds = [
             self._feed,
             self._upstream_feed,
@@ -218,11 +214,15 @@
                 self._store,
                 ALLOTMENTS,
                 self._accounts,
-                self._pause_of_allotments,
+                self._choose_allotments_pause,
                 rereads=False,
             ),
             TableFeed(
-                reactor, self._store, MEMBERS, self._members, lambda: MEMBERS_PAUSE
+                reactor,
+                self._store,
+                MEMBERS,
+                self._members,
+                lambda: MEMBERS_POLL_SECONDS,
             ),
         ]
         self.news.connect(
@@ -232,11 +232,11 @@
             self._evacuations,
             self._components.crashes,
         )
-        self._callers = IngressServer(reactor, self)
-        self._probes = IngressServer(
+        self._caller_server = IngressServer(reactor, self)
+        self._readiness_server = IngressServer(
             reactor, ReadinessHandler(border.ready_path, lambda: self.ready)
         )
-        self._reports = IngressServer(
+        self._report_server = IngressServer(
             reactor, ReportHandler(self._render_metrics, self.describe)
         )
         self.stopping = False
@@ -244,22 +244,22 @@
 
     @property
     def ready(self) -> bool:
-        """Whether the balancer should send connections here."""
+        """Whether the load balancer should send connections here."""
         known = self._configuration.table is not None and self._upstreams.known
-        return known and not self.stopping and self._wake.confirmed
+        return known and not self.stopping and self._stall_monitor.confirmed
 
     def start(self) -> None:
-        """Listen, and begin to follow the store."""
+        """Start to listen and to read the store."""
         settings = self._settings
         for address, server in (
-            (settings.callers, self._callers),
-            (settings.readiness, self._probes),
+            (settings.callers, self._caller_server),
+            (settings.readiness, self._readiness_server),
         ):
             self._reactor.listenTCP(address.port, server, 512, address.host)
         self._listen_reports()
         for feed in self._feeds:
             feed.start()
-        self._wake.start()
+        self._stall_monitor.start()
         self._accounts.start()
         self._peers.start()
         spawn(self._members.join(self._member), "MemberList")
@@ -267,17 +267,17 @@
         log_event("started", instance=settings.instance, domain=settings.domain)
 
     def _listen_reports(self) -> None:
-        """Serve reports, where their port is free; a relay runs without them too."""
+        """Serve reports if their port is free; the relay also works without them."""
         address = self._settings.reports
         if address is None:
             return
         try:
-            self._reactor.listenTCP(address.port, self._reports, 8, address.host)
+            self._reactor.listenTCP(address.port, self._report_server, 8, address.host)
         except CannotListenError as error:
             log_event("reports-unavailable", Level.WARNING, error=error)
 
     def describe(self) -> dict[str, Any]:
-        """Return the state of this relay, for operators."""
+        """Return a dump of the relay's state, for operators."""
         return {
             "instance": self._settings.instance,
             "domain": self._settings.domain,
@@ -286,7 +286,7 @@
             "configuration": self._configuration.version,
             "store": {"reachable": self._feed.reachable, "age": self._feed.age()},
             "peers": self._peers.peers,
-            "connections": len(self._callers.connections),
+            "connections": len(self._caller_server.connections),
             "emptied": self._components.directory.evacuations.describe(),
             "upstreams": self._upstreams.describe(),
             "malformed": {
@@ -313,26 +313,26 @@
         return metrics.render()
 
     async def stop(self) -> None:
-        """End in order: serve what is open and what still comes, then hand back."""
+        """Stop gracefully: finish open requests, then return unspent tokens."""
         self.stopping = True
-        self._callers.stopping = True
+        self._caller_server.stopping = True
         began = self._reactor.seconds()
-        log_event("stopping", open=len(self._callers.connections))
-        await sleep(BALANCER_SECONDS, self._reactor)
+        log_event("stopping", open=len(self._caller_server.connections))
+        await sleep(BALANCER_DRAIN_SECONDS, self._reactor)
         self._refusing = True
         until = began + self._settings.bounds.stop - RETURN_UNSPENT_SECONDS
         while self._reactor.seconds() < until:
-            self._callers.close_idle()
-            if not self._callers.connections:
+            self._caller_server.close_idle()
+            if not self._caller_server.connections:
                 break
             await sleep(STOP_STEP_SECONDS, self._reactor)
         await self._accounts.return_unspent()
         if self._feed.reachable:
             await self._members.leave()
-        log_event("stopped", open=len(self._callers.connections))
+        log_event("stopped", open=len(self._caller_server.connections))
 
     def limits(self) -> CallerLimits:
-        """Return what a caller may send now."""
+        """Return the current limits of requests."""
         table = self._configuration.table
         return CallerLimits() if table is None else table.configuration.limits
 
@@ -340,13 +340,20 @@
         """Begin to serve a request."""
         table = self._configuration.table
         if self._refusing:
-            # What begins now may outlast this process.
+            # The request might not end before this process.
             send_refusal(
-                self._border, response, "", Refusal(UNAVAILABLE, "stopping", ELSEWHERE)
+                self._border,
+                response,
+                "",
+                Refusal(UNAVAILABLE, "stopping", STOPPING_RETRY_SECONDS),
             )
             return
         admitted = admit_request(
-            head, table, self._border, self._components.random, current=self._current()
+            head,
+            table,
+            self._border,
+            self._components.random,
+            is_fresh=self._is_configuration_fresh(),
         )
         if isinstance(admitted, Refusal):
             log_event(
@@ -365,9 +372,13 @@
         run = RequestRun(self._components, admitted, service, head, body, response)
         spawn(run.run(), "RequestRun")
 
-    def _pause_of_allotments(self) -> float:
-        all_hold = self._members.count <= self._settings.policy.most_holders
-        return ALLOTMENTS_PAUSE if all_hold else SELDOM_ALLOTMENTS_PAUSE
+    def _choose_allotments_pause(self) -> float:
+        all_are_holders = self._members.count <= self._settings.policy.most_holders
+        return (
+            ALLOTMENTS_POLL_SECONDS
+            if all_are_holders
+            else LARGE_FLEET_ALLOTMENTS_POLL_SECONDS
+        )
 
     def _announce_load(self, upstream: KnownUpstream, parts: Iterable[str]) -> None:
         if not self._settings.policy.share_loads:
@@ -375,21 +386,24 @@
         prompts = upstream.prompts
         self._peers.announce_load(upstream.name, lambda: prompts.own, parts)
 
-    def _take_table(self, table: RouteTable) -> None:
+    def _apply_table(self, table: RouteTable) -> None:
         self._accounts.take_table(table)
         self._peers.announce_version()
 
-    def _current(self) -> bool:
+    def _is_configuration_fresh(self) -> bool:
         age = self._feed.age()
         return age is not None and (
-            age < CURRENT_PART * self._settings.bounds.configuration
+            age < FRESH_CONFIGURATION_FRACTION * self._settings.bounds.configuration
         )
 
 
 def choose_upstreams_pause(departure: float) -> float:
     """Return the seconds between two polls of the list of upstreams.
 
-    :param departure: seconds after which an upstream that leaves gets no new work
+    A long departure bound leaves time for a slow or repeated poll and for the grace
+    period of missing rows.
+
+    :param departure: seconds after which a leaving upstream must get no new work
     """
     spare = departure - MISSING_GRACE_SECONDS - SLOW_POLL_SECONDS
-    return max(UPSTREAMS_PAUSE_PART * departure, spare)
+    return max(UPSTREAMS_POLL_FRACTION * departure, spare)
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/reports.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/reports.py
@@ -1,4 +1,4 @@
-"""What a relay tells operators of itself: metrics, and a dump of its state."""
+"""Serves a relay's metrics and a dump of its state to operators."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
 
 
 class ReportHandler(RequestHandler):
-    """Answers those who look after the relay.
+    """Handles requests for metrics and state dumps.
 
-    :param render_metrics: returns all figures as text
-    :param describe: returns the state as a whole
+    :param render_metrics: returns all metrics as text
+    :param describe: returns a dump of the state
     """
 
     def __init__(
@@ -39,11 +39,11 @@
         self._describe = describe
 
     def limits(self) -> CallerLimits:
-        """Return what a question may be like."""
+        """Return the limits of requests, which have no body."""
         return CallerLimits(body_bytes=0)
 
     def handle(self, head: RequestHead, body: bytes, response: CallerResponse) -> None:
-        """Answer one question."""
+        """Respond to a request."""
         if head.path == METRICS_PATH:
             headers = [(b"Content-Type", METRICS_TYPE)]
             response.send_complete(OK, headers, self._render_metrics())
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/requests.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/requests.py
@@ -1,4 +1,4 @@
-"""One request's way: what it may cost, how often it is tried, what is answered."""
+"""Runs one request: reserves tokens, tries upstreams and responds to the caller."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 from pondquay.streamevents import EventReader
 from pondquay_daemon.logs import Level, log_event
 from pondquay_daemon.relay.admission import (
-    SOON,
+    RETRY_SOON_SECONDS,
     UNAVAILABLE,
     Refusal,
     send_refusal,
 )
 from pondquay_daemon.relay.attempts import (
-    PROMISES,
-    SUCCESS,
+    NOT_RUN_STATUSES,
+    SUCCESS_STATUSES,
     Answered,
     Lost,
     NotRun,
@@ -44,10 +44,10 @@
 SERVER_ERROR = 500
 BAD_GATEWAY = 502
 GATEWAY_TIMEOUT = 504
-# Connections that may fail before a request is refused, unless a sound upstream is
-# left; nothing was sent on them.
+# Connections that may fail before a request is refused, unless a healthy upstream is
+# left to try.
 MAX_CONNECT_FAILURES = 3
-# How a request ended, where it was not a status.
+# Outcomes of requests that end without a plain response, as metric labels.
 NO_RESPONSE = "none"
 STREAMED = "stream"
 BROKEN = "broken"
@@ -71,7 +71,7 @@
         self._route = admission.route
         self._workspace = admission.workspace
         self._response = response
-        self._stopped = ""
+        self._stop_reason = ""
         self._may_have_run = False
         self._outcome = ""
         self._status = NO_RESPONSE
@@ -89,24 +89,28 @@
         seconds = self._route.timeout
         if self._metadata.deadline is not None:
             seconds = min(seconds, self._metadata.deadline)
-        self._until = response.arrived + seconds
+        self._deadline = response.arrived_at + seconds
         shares_prompts = service is not None and service.shares_prompts
-        job = RequestJob(admission, head, body, response, shares_prompts, self._until)
+        job = RequestJob(
+            admission, head, body, response, shares_prompts, self._deadline
+        )
         owner = "" if self._workspace is None else self._workspace.name
-        self._permit = ContentPermit(
+        self._content_permit = ContentPermit(
             components.crashes, owner, admission.route.host, head, body
         )
-        self._retries = RetryPermit(
+        self._retry_permit = RetryPermit(
             components, admission.service, admission.metadata.attempt
         )
-        self._sender = RequestSender(components, job, self._progress, self._may_leave)
+        self._sender = RequestSender(
+            components, job, self._progress, self._reserve_retry
+        )
 
     async def run(self) -> None:
         """Serve the request or refuse it."""
-        self._response.on_gone = self._note_gone
+        self._response.on_disconnect = self._on_disconnect
         timer = self._start_timer()
         try:
-            refusal = self._permit.take()
+            refusal = self._content_permit.take()
             if refusal is None:
                 refusal = await self._reservation.reserve(self._metadata.max_tokens)
             if refusal is None:
@@ -122,7 +126,7 @@
                 trace=format_exc(),
             )
             self._may_have_run = self._may_have_run or bool(self._sender.sent_to)
-            self._refuse(self._give_up("internal error"))
+            self._refuse(self._make_refusal("internal error"))
         finally:
             if timer.active():
                 timer.cancel()
@@ -130,26 +134,30 @@
             self._log_end()
 
     def _start_timer(self) -> IDelayedCall:
-        seconds = max(0.0, self._until - self._components.clock.seconds())
-        return self._components.clock.callLater(seconds, self._note_timeout)
+        seconds = max(0.0, self._deadline - self._components.clock.seconds())
+        return self._components.clock.callLater(seconds, self._on_timeout)
 
-    def _note_timeout(self) -> None:
+    def _on_timeout(self) -> None:
         self._stop("timeout")
 
-    def _note_gone(self) -> None:
+    def _on_disconnect(self) -> None:
         streaming, repeatable = self._route.streaming, self._route.repeatable
         if not self._sender.running or streaming or repeatable:
             self._stop("caller gone")
 
-    def _stop(self, why: str) -> None:
-        self._stopped = self._stopped or why
+    def _stop(self, reason: str) -> None:
+        self._stop_reason = self._stop_reason or reason
         self._sender.stop()
 
     def _log_end(self) -> None:
         workspace = "" if self._workspace is None else self._workspace.name
         response, progress = self._response, self._progress
-        seconds = self._components.clock.seconds() - response.arrived
-        first = None if response.began is None else response.began - response.arrived
+        seconds = self._components.clock.seconds() - response.arrived_at
+        first = (
+            None
+            if response.began_at is None
+            else response.began_at - response.arrived_at
+        )
         self._components.metrics.note_end(self._status, seconds, first)
         log_event(
             "request-ended",
@@ -167,114 +175,126 @@
         )
 
     async def _try_upstreams(self) -> Refusal | None:
-        """Send the request until it is answered, or no further attempt is allowed."""
+        """Send the request until it is served or no further attempt is allowed.
+
+        :returns: a refusal if it was not served
+        """
         sends = 0
-        # Only these count against the route's attempts: an upstream that turned the
-        # request away did not run it. Every send counts against the retry share.
+        # Only sends after which the request may have run count against the route's
+        # attempts. Every send counts against the retry share.
         runs = 0
         connect_failures = 0
-        self._retries.note_first()
-        while not self._stopped:
-            upstream = await self._choose(sends)
-            if self._stopped:
+        self._retry_permit.note_first()
+        while not self._stop_reason:
+            upstream = await self._choose_upstream(sends)
+            if self._stop_reason:
                 break
             if isinstance(upstream, Refusal):
                 return upstream
             last = runs + 1 >= self._route.attempts
             outcome = await self._sender.send(upstream, last=last)
-            self._observe(upstream, outcome)
+            self._record_outcome(upstream, outcome)
             if isinstance(outcome, Unsent):
                 connect_failures += 1
-                if self._is_out_of_reach(connect_failures):
-                    return self._give_up("no connection")
+                if self._should_stop_connecting(connect_failures):
+                    return self._make_refusal("no connection")
                 continue
             sends += 1
-            if self._finish(outcome, last=last):
+            if self._deliver(outcome, last=last):
                 return None
             if not isinstance(outcome, NotRun):
                 runs += 1
             if runs >= self._route.attempts:
-                return self._give_up("attempts used up")
-            refusal = await self._prepare_again(outcome)
+                return self._make_refusal("attempts used up")
+            refusal = await self._prepare_retry(outcome)
             if refusal is not None:
                 return refusal
-        return self._give_up(self._stopped)
+        return self._make_refusal(self._stop_reason)
 
-    async def _choose(self, sends: int) -> KnownUpstream | Refusal:
-        """Return the upstream to try next, or why the request is not sent."""
-        refusal = self._permit.check_again(sends)
+    async def _choose_upstream(self, sends: int) -> KnownUpstream | Refusal:
+        """Return the upstream to try next, or a refusal."""
+        refusal = self._content_permit.check_again(sends)
         if refusal is not None:
-            return self._give_up(refusal.reason, refusal.retry_after)
-        upstream = await self._sender.place()
+            return self._make_refusal(refusal.reason, refusal.retry_after)
+        upstream = await self._sender.choose_upstream()
         if upstream is None:
             none = self._sender.explain_no_upstream()
-            return self._give_up(none.reason, none.retry_after or SOON)
-        if sends and not self._retries.take():
-            return self._give_up("no retries left")
+            return self._make_refusal(
+                none.reason, none.retry_after or RETRY_SOON_SECONDS
+            )
+        if sends and not self._retry_permit.take():
+            return self._make_refusal("no retries left")
         return upstream
 
-    def _is_out_of_reach(self, connect_failures: int) -> bool:
-        """Tell whether no further connection is worth trying.
+    def _should_stop_connecting(self, connect_failures: int) -> bool:
+        """Return whether to give up connecting.
 
-        A refused one costs a millisecond, one that does not come half a second, so only
-        the callers' time bounds them while an upstream is left that should answer.
+        While a healthy upstream is left, only the caller's deadline limits the number
+        of failed connections.
         """
         if connect_failures < MAX_CONNECT_FAILURES:
             return False
-        leaves_dark = self._components.policy.leave_dark
-        return not leaves_dark or not self._sender.has_other()
+        avoids_unreachable = self._components.policy.leave_dark
+        return not avoids_unreachable or not self._sender.has_alternative()
 
-    def _may_leave(self) -> bool:
-        """Take a retry, if another upstream may serve the request."""
-        return self._retries.hold_for_other(self._sender.tried)
+    def _reserve_retry(self) -> bool:
+        """Reserve a retry if another upstream may serve the request."""
+        return self._retry_permit.reserve_for_alternative(self._sender.tried)
 
-    def _observe(self, upstream: KnownUpstream, outcome: Outcome) -> None:
-        """Learn from what came of an attempt."""
+    def _record_outcome(self, upstream: KnownUpstream, outcome: Outcome) -> None:
+        """Record the outcome of an attempt."""
         now = self._components.clock.seconds()
         self._components.metrics.attempts.labels(type(outcome).__name__.lower()).inc()
         if isinstance(outcome, Stopped):
-            # Where nobody stopped it, too little time was left to send it.
-            self._stopped = self._stopped or "timeout"
+            # Without an earlier reason, too little time was left to send it.
+            self._stop_reason = self._stop_reason or "timeout"
         elif isinstance(outcome, NotRun) and outcome.misdirected:
             record = upstream.record
             self._components.directory.note_leaving(record.name, record.born)
         elif isinstance(outcome, NotRun):
-            # One that turns everything away runs nothing, so it seems the least loaded.
+            # An upstream that rejects everything would otherwise seem the least loaded.
             upstream.circuit.fail(now)
         elif isinstance(outcome, Unsent):
-            self._components.placement.note_unreached(upstream, refused=outcome.refused)
+            self._components.placement.note_connect_failure(
+                upstream, refused=outcome.refused
+            )
             if not outcome.refused:
-                self._sender.unreached.add(upstream.record.domain)
+                self._sender.unreachable_domains.add(upstream.record.domain)
         elif isinstance(outcome, Lost):
             upstream.circuit.fail(now)
-            self._suspect(upstream, outcome, now)
+            self._note_possible_crash(upstream, outcome, now)
         elif isinstance(outcome, Answered | Streamed):
             upstream.circuit.succeed()
             if isinstance(outcome, Streamed) or outcome.head.status < SERVER_ERROR:
-                self._permit.note_served()
+                self._content_permit.note_served()
         if not isinstance(outcome, Answered | Streamed | Stopped):
             lost = isinstance(outcome, Lost)
             log_event(
                 "attempt-failed",
                 Level.WARNING,
                 request=self._metadata.attempt,
-                content=self._permit.content.hex() if lost else "",
+                content=self._content_permit.content.hex() if lost else "",
                 upstream=upstream.name,
                 outcome=outcome,
             )
 
-    def _suspect(self, upstream: KnownUpstream, lost: Lost, now: float) -> None:
-        """Take in that the upstream may have crashed under this request.
+    def _note_possible_crash(
+        self, upstream: KnownUpstream, lost: Lost, now: float
+    ) -> None:
+        """Note that this request may have crashed the upstream.
 
-        One that answers others is busy and has not ended.
+        A silent upstream that responds to other requests is busy and has not crashed.
         """
         if not self._components.policy.refuse_crashing:
             return
         if lost.broken or now - upstream.last_seen_at >= self._route.objective:
-            self._permit.note_broken(upstream, lost.streamed)
+            self._content_permit.note_broken(upstream, lost.streamed)
+
+    def _deliver(self, outcome: Outcome, *, last: bool) -> bool:
+        """Finish the caller's response, if the outcome allows it.
 
-    def _finish(self, outcome: Outcome, *, last: bool) -> bool:
-        """Give the caller its final answer, if this outcome is one."""
+        :returns: whether the response is finished
+        """
         if isinstance(outcome, Streamed):
             self._reservation.settle_stream(outcome.events)
             self._outcome = "streamed"
@@ -282,20 +302,22 @@
             self._response.finish()
             return True
         if isinstance(outcome, Answered):
-            return self._finish_answered(outcome, last=last)
+            return self._deliver_response(outcome, last=last)
         if isinstance(outcome, Lost) or (isinstance(outcome, Stopped) and outcome.sent):
             self._may_have_run = True
         return False
 
-    def _finish_answered(self, outcome: Answered, *, last: bool) -> bool:
+    def _deliver_response(self, outcome: Answered, *, last: bool) -> bool:
         status = outcome.head.status
         self._may_have_run = True
         if self._progress is not None and self._progress.started:
             return False
-        if status in PROMISES:
+        if status in NOT_RUN_STATUSES:
             return False
-        may_repeat = status not in SUCCESS and self._route.repeatable and not last
-        if may_repeat and self._may_leave():
+        may_repeat = (
+            status not in SUCCESS_STATUSES and self._route.repeatable and not last
+        )
+        if may_repeat and self._reserve_retry():
             return False
         headers = drop_connection_headers(outcome.head.headers)
         self._outcome = f"answered-{status}"
@@ -303,32 +325,34 @@
         self._response.send_complete(status, headers, outcome.body)
         return True
 
-    async def _prepare_again(self, outcome: Outcome) -> Refusal | None:
-        """Make ready for a further attempt, or say why there is none."""
+    async def _prepare_retry(self, outcome: Outcome) -> Refusal | None:
+        """Prepare a further attempt, or return a refusal."""
         if not self._may_have_run:
             return None
         if not self._route.repeatable:
-            return self._give_up("may have run")
+            return self._make_refusal("may have run")
         if not isinstance(outcome, Lost | Answered):
             return None
         if isinstance(outcome, Lost):
-            await self._permit.wait_for_check()
+            await self._content_permit.wait_for_check()
         refusal = await self._reservation.reserve(self._metadata.output_tokens)
-        # A refusal for want of tokens says that nothing ran, which is no longer true.
-        return None if refusal is None else self._give_up(refusal.reason)
+        # A plain refusal for lack of tokens would imply that nothing ran.
+        return None if refusal is None else self._make_refusal(refusal.reason)
 
-    def _give_up(self, why: str, retry_after: float | None = SOON) -> Refusal:
+    def _make_refusal(
+        self, reason: str, retry_after: float | None = RETRY_SOON_SECONDS
+    ) -> Refusal:
         if not self._may_have_run:
             self._reservation.settle(0)
-            return Refusal(UNAVAILABLE, why, retry_after)
-        status = GATEWAY_TIMEOUT if self._stopped == "timeout" else BAD_GATEWAY
-        return Refusal(status, why)
+            return Refusal(UNAVAILABLE, reason, retry_after)
+        status = GATEWAY_TIMEOUT if self._stop_reason == "timeout" else BAD_GATEWAY
+        return Refusal(status, reason)
 
     def _refuse(self, refusal: Refusal) -> None:
         self._outcome = f"refused-{refusal.status}: {refusal.reason}"
         self._status = BROKEN if self._response.started else str(refusal.status)
         if self._response.started:
-            self._response.break_off()
+            self._response.abort()
             return
         send_refusal(
             self._components.border, self._response, self._metadata.attempt, refusal
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/reservations.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/reservations.py
@@ -1,4 +1,4 @@
-"""What one request reserves of its workspace's tokens, and what it uses of it."""
+"""Tokens that one request reserves from its workspace's budget and uses."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 
 PAYMENT_REQUIRED = 402
 TOO_MANY_REQUESTS = 429
-# Part of the objective after which a request without tokens is refused.
-OBTAIN_PART = 0.2
+# Fraction of a route's objective for which a request waits for tokens.
+TOKEN_WAIT_FRACTION = 0.2
 
 
 class Reservation:
-    """The tokens of one request.
+    """The reserved tokens of one request.
 
-    :param workspace: ``None`` for requests that nobody pays for
-    :ivar used: tokens that it was settled at
+    :param workspace: ``None`` for requests without a budget
+    :ivar used: tokens used, as settled
     """
 
     def __init__(
@@ -42,15 +42,15 @@
         self.used = 0
 
     async def reserve(self, tokens: int) -> Refusal | None:
-        """Reserve tokens for a run, or say why it cannot be."""
+        """Reserve tokens for a run, or return a refusal."""
         workspace = self._workspace
         if workspace is None or workspace.prepaid is None:
             return None
         if self._service is None or not self._service.counts_tokens:
             return None
-        patience = OBTAIN_PART * self._route.objective
+        max_wait_seconds = TOKEN_WAIT_FRACTION * self._route.objective
         refused = await self._accounts.obtain(
-            self._metadata.attempt, workspace.name, tokens, patience
+            self._metadata.attempt, workspace.name, tokens, max_wait_seconds
         )
         if refused is None:
             self._reserved += tokens
@@ -61,18 +61,18 @@
         return Refusal(TOO_MANY_REQUESTS, f"budget {refused}", wait)
 
     def settle(self, used: int) -> None:
-        """Replace what is reserved by what was used of it."""
+        """Release the reserved tokens and charge those that were used."""
         reserved, self._reserved = self._reserved, 0
         if reserved and self._workspace is not None:
             self.used = min(reserved, used)
             self._accounts.settle(self._workspace.name, reserved, used)
 
     def settle_all(self) -> None:
-        """Count as used what has not been settled: its end is not known."""
+        """Charge all tokens still reserved, since their use is unknown."""
         self.settle(self._reserved)
 
     def settle_stream(self, events: int) -> None:
-        """Settle a whole stream by the events that came."""
+        """Settle a complete stream by the number of its events."""
         event_tokens = 0 if self._service is None else self._service.event_tokens
         output = min(self._metadata.output_tokens, events * event_tokens)
         self.settle(self._reserved - self._metadata.output_tokens + output)
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/retrying.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/retrying.py
@@ -1,4 +1,4 @@
-"""Further attempts of one request, out of this instance's share of the fleet's."""
+"""Retries of one request, from this instance's share of the fleet's retries."""
 
 from __future__ import annotations
 
@@ -13,39 +13,40 @@
 
 
 class RetryPermit:
-    """Takes further attempts for one request; one may be taken before it is made.
+    """Takes retries for one request; a retry may be reserved in advance.
 
-    :param request: the attempt's name, for the logs
+    :param request: the caller's identifier of its attempt, for the logs
     """
 
     def __init__(self, components: RelayComponents, service: str, request: str) -> None:
         self._components = components
         self._service = service
         self._request = request
-        self._held = False
+        self._reserved = False
 
     def note_first(self) -> None:
-        """Count the request, which raises what may be taken."""
+        """Count the request, which increases the number of allowed retries."""
         self._components.retries.note_first(
             self._service, self._components.clock.seconds()
         )
 
     def take(self) -> bool:
-        """Take a further attempt, unless one was taken before."""
-        if self._held:
-            self._held = False
+        """Use the reserved retry, or take one; return whether that is allowed."""
+        if self._reserved:
+            self._reserved = False
             return True
         return self._spend()
 
-    def hold_for_other(self, tried: Collection[str]) -> bool:
-        """Take one before an upstream is left, if another may serve the request.
+    def reserve_for_alternative(self, tried: Collection[str]) -> bool:
+        """Reserve a retry if another upstream may serve the request.
 
-        :param tried: upstreams that were tried
+        :param tried: names of the upstreams that were tried
+        :returns: whether a retry is reserved
         """
-        if not self._components.placement.has_other(self._service, tried):
+        if not self._components.placement.has_alternative(self._service, tried):
             return False
-        self._held = self._held or self.take()
-        return self._held
+        self._reserved = self._reserved or self.take()
+        return self._reserved
 
     def _spend(self) -> bool:
         now = self._components.clock.seconds()
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/sending.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/sending.py
@@ -1,4 +1,4 @@
-"""Sending one request to upstreams: where, with which headers, for how long."""
+"""Sends one request to upstreams."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from pondquay_daemon.logs import log_event
 from pondquay_daemon.relay.attempts import Attempt, Stopped
-from pondquay_daemon.relay.contacts import UpstreamContact
+from pondquay_daemon.relay.contacts import UpstreamObserver
 from pondquay_daemon.relay.heads import drop_connection_headers
 from pondquay_daemon.relay.messages import Dispatch
 from pondquay_daemon.relay.permits import WAIT_SECONDS, describe_rate
@@ -24,24 +24,24 @@
     from pondquay_daemon.relay.messages import RequestHead
     from pondquay_daemon.relay.placement import NoUpstream
 
-# An upstream that says nothing for this many objectives is given up, where the request
-# may run again.
-SILENT_OBJECTIVES = 2.0
-MIN_SILENT_SECONDS = 0.3
-# One that answers other requests meanwhile is given up after this many.
-BUSY_OBJECTIVES = 3.0
+# An upstream that sends nothing for this multiple of the objective is abandoned if the
+# request is repeatable.
+SILENCE_TIMEOUT_OBJECTIVES = 2.0
+MIN_SILENCE_SECONDS = 0.3
+# The same for an upstream that responds to other requests meanwhile.
+BUSY_TIMEOUT_OBJECTIVES = 3.0
 MIN_REMAINING_SECONDS = 0.01
-# Routes' priorities are below this, and tenants' come ahead of them.
+# Number of route priorities. The priority of a workspace outranks that of a route.
 ROUTE_PRIORITIES = 3
 MAX_URGENCY = 9
 
 
 @dataclass(frozen=True, slots=True)
 class RequestJob:
-    """What is to be sent, for whom and until when.
+    """A request to be sent.
 
-    :param shares_prompts: whether upstreams may copy what others have read of a prompt
-    :param until: when the caller's answer must be there, in seconds
+    :param shares_prompts: whether upstreams may copy cached prompt parts
+    :param deadline: time by which the caller needs the response, in seconds
     """
 
     admission: Admission
@@ -49,17 +49,18 @@
     body: bytes
     response: CallerResponse
     shares_prompts: bool
-    until: float
+    deadline: float
 
 
 class RequestSender:
-    """Sends one request, to one upstream after the other.
-
-    :param progress: how far its stream has come, ``None`` if it has none
-    :param may_leave: takes a further attempt, so that a silent upstream may be left
-    :ivar tried: upstreams that it was sent to
-    :ivar sent_to: the same in order
-    :ivar unreached: domains of upstreams to which there was no connection
+    """Sends one request to upstreams, one after another.
+
+    :param progress: progress of its stream, ``None`` if it has none
+    :param may_retry: reserves a retry, so that a silent upstream may be abandoned;
+        returns whether it did
+    :ivar tried: names of the upstreams that it was sent to
+    :ivar sent_to: the same names in order
+    :ivar unreachable_domains: domains in which it could not connect
     """
 
     def __init__(
@@ -67,7 +68,7 @@
         components: RelayComponents,
         job: RequestJob,
         progress: StreamProgress | None,
-        may_leave: Callable[[], bool],
+        may_retry: Callable[[], bool],
     ) -> None:
         self._components = components
         self._job = job
@@ -75,45 +76,45 @@
         self._route = job.admission.route
         self._workspace = job.admission.workspace
         self._progress = progress
-        self._may_leave = may_leave
+        self._may_retry = may_retry
         self._attempt: Attempt | None = None
         self.tried: set[str] = set()
         self.sent_to: list[str] = []
-        self.unreached: set[str] = set()
+        self.unreachable_domains: set[str] = set()
 
     @property
     def running(self) -> bool:
-        """Whether an attempt is under way."""
+        """Whether an attempt is in progress."""
         return self._attempt is not None
 
     def stop(self) -> None:
-        """End the attempt that is under way."""
+        """End the attempt in progress."""
         if self._attempt is not None:
             self._attempt.stop()
 
-    async def place(self) -> KnownUpstream | None:
+    async def choose_upstream(self) -> KnownUpstream | None:
         """Return the upstream to try next, ``None`` if there is none."""
         components, service = self._components, self._job.admission.service
-        passed_over: set[str] = set()
-        until = components.clock.seconds() + WAIT_SECONDS
+        without_permit: set[str] = set()
+        wait_until = components.clock.seconds() + WAIT_SECONDS
         while True:
             chosen = components.placement.choose(
                 service,
                 self._metadata.prefix,
-                self.tried | passed_over,
-                self.unreached,
+                self.tried | without_permit,
+                self.unreachable_domains,
             )
             if chosen is None:
                 return None
-            if await components.permits.take(chosen, until):
+            if await components.permits.take(chosen, wait_until):
                 self._log_chosen(chosen)
                 return chosen
-            passed_over.add(chosen.name)
+            without_permit.add(chosen.name)
 
     def _log_chosen(self, chosen: KnownUpstream) -> None:
         components, service = self._components, self._job.admission.service
         age = components.list_age()
-        gone = chosen.missing_since
+        missing_since = chosen.missing_since
         log_event(
             "upstream-chosen",
             request=self._metadata.attempt,
@@ -125,29 +126,31 @@
             failures=chosen.circuit.failures,
             tried=len(self.tried),
             list_age=-1 if age is None else round(age, 2),
-            gone=-1 if gone is None else round(components.clock.seconds() - gone, 2),
+            gone=-1
+            if missing_since is None
+            else round(components.clock.seconds() - missing_since, 2),
             cold=round(max(0.0, chosen.cold_until - components.clock.seconds()), 2),
             limit=describe_rate(chosen.limit.rate),
             emptied=components.directory.evacuations.describe(),
         )
 
-    def has_other(self) -> bool:
-        """Tell whether a sound upstream is left that was not tried."""
+    def has_alternative(self) -> bool:
+        """Return whether another healthy upstream can be tried."""
         service = self._job.admission.service
-        return self._components.placement.has_other(service, self.tried)
+        return self._components.placement.has_alternative(service, self.tried)
 
     def explain_no_upstream(self) -> NoUpstream:
-        """Return why there is none to try."""
+        """Return why there is no upstream to try."""
         service = self._job.admission.service
-        return self._components.placement.explain_none(service, self.tried)
+        return self._components.placement.explain_no_upstream(service, self.tried)
 
     async def send(self, upstream: KnownUpstream, *, last: bool) -> Outcome:
-        """Send the request and return what came of it.
+        """Send the request and return the outcome.
 
-        :param last: no other upstream may be tried after this one
+        :param last: whether no other upstream may be tried afterwards
         """
         job, components = self._job, self._components
-        remaining = job.until - components.clock.seconds()
+        remaining = job.deadline - components.clock.seconds()
         if remaining < MIN_REMAINING_SECONDS:
             return Stopped(sent=False)
         source = self._find_source(upstream)
@@ -156,8 +159,8 @@
         self.sent_to.append(upstream.name)
         prefill = Prefill(components, upstream, self._metadata.prefix, source)
         attempt = self._make_attempt(upstream, prefill)
-        leaves_silent = components.policy.leave_silent
-        if leaves_silent and self._route.repeatable and not last:
+        abandons_silent = components.policy.leave_silent
+        if abandons_silent and self._route.repeatable and not last:
             self._watch_silence(attempt, upstream)
         self._attempt = attempt
         try:
@@ -191,13 +194,15 @@
             self._metadata.attempt,
             self._job.response,
             self._progress,
-            UpstreamContact(self._components, upstream, prefill, self._route.pause),
+            UpstreamObserver(self._components, upstream, prefill, self._route.pause),
         )
 
     def _find_source(self, upstream: KnownUpstream) -> KnownUpstream | None:
         if not self._job.shares_prompts:
             return None
-        source = self._components.placement.find_source(upstream, self._metadata.prefix)
+        source = self._components.placement.find_copy_source(
+            upstream, self._metadata.prefix
+        )
         if source is not None:
             log_event(
                 "prompt-copied",
@@ -221,20 +226,22 @@
         return self._progress.reader.last
 
     def _watch_silence(self, attempt: Attempt, upstream: KnownUpstream) -> None:
-        patience = SILENT_OBJECTIVES * self._route.objective
-        patience = max(MIN_SILENT_SECONDS, patience)
+        timeout = SILENCE_TIMEOUT_OBJECTIVES * self._route.objective
+        timeout = max(MIN_SILENCE_SECONDS, timeout)
         began = self._components.clock.seconds()
-        attempt.give_up_after(patience, lambda: self._may_leave_silent(upstream, began))
+        attempt.watch_silence(timeout, lambda: self._may_abandon(upstream, began))
 
-    def _may_leave_silent(self, upstream: KnownUpstream, began: float) -> bool:
-        """Decide whether to leave an upstream that says nothing to this request.
+    def _may_abandon(self, upstream: KnownUpstream, began: float) -> bool:
+        """Decide whether to abandon an upstream that is silent on this request.
 
-        One that answers others is busy, not dead: to leave it would have the prompt
-        read once more elsewhere and add to the load. It is left only much later.
+        An upstream that responds to other requests is busy. It is abandoned later, as a
+        retry elsewhere would repeat the prefill and add load.
         """
         now = self._components.clock.seconds()
         objective = self._route.objective
-        dead = now - upstream.last_seen_at >= max(MIN_SILENT_SECONDS, objective)
-        if not dead and now - began < BUSY_OBJECTIVES * objective:
+        unresponsive = now - upstream.last_seen_at >= max(
+            MIN_SILENCE_SECONDS, objective
+        )
+        if not unresponsive and now - began < BUSY_TIMEOUT_OBJECTIVES * objective:
             return False
-        return self._may_leave()
+        return self._may_retry()
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/settings.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a relay, as a border reads them from wherever they are."""
+"""Settings of a relay, which a border reads."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayBounds:
-    """Times and numbers that the platform's operators have agreed on.
-
-    :param configuration: seconds after which a configuration is in force everywhere
-    :param stop: seconds that a planned stop may take
-    :param departure: seconds after which an upstream that leaves gets no new work
-    :param retry_ratio: further attempts that the fleet may make for each request
-    :param retry_extra: further attempts that it may always make in a window
-    :param retry_window: seconds
+    """Limits that the platform's operators have agreed on.
+
+    :param configuration: seconds within which a configuration takes effect everywhere
+    :param stop: maximum duration of a graceful stop, in seconds
+    :param departure: seconds after which a leaving upstream gets no new work
+    :param retry_ratio: retries that the fleet may make for each request
+    :param retry_extra: retries that the fleet may make in a window in any case
+    :param retry_window: length of the window in seconds
     """
 
     configuration: float = 2.0
@@ -36,11 +36,15 @@
 class RelaySettings:
     """All settings of one relay.
 
-    :param callers: where callers' requests come in
-    :param readiness: where the balancer asks whether this instance is ready
-    :param peers: where other instances connect
+    :param instance: name of this instance
+    :param domain: failure domain of this instance
+    :param callers: address that serves callers
+    :param readiness: address that serves readiness probes of the load balancer
+    :param store: address of the store
+    :param peers: address for links of other instances
     :param seeds: ``peers`` addresses of some other instances
-    :param reports: where metrics and dumps are served, ``None`` for nowhere
+    :param reports: address of metrics and state dumps, ``None`` to serve none
+    :param policy: switches and parameters of the relay's mechanisms
     """
 
     instance: str
