--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/sending.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/sending.py
@@ -7,9 +7,9 @@
 
 from pondquay_daemon.logs import log_event
 from pondquay_daemon.relay.attempts import Attempt, Stopped
-from pondquay_daemon.relay.contacts import UpstreamObserver
 from pondquay_daemon.relay.heads import drop_connection_headers
 from pondquay_daemon.relay.messages import Dispatch
+from pondquay_daemon.relay.observers import UpstreamObserver
 from pondquay_daemon.relay.permits import WAIT_SECONDS, describe_rate
 from pondquay_daemon.relay.prefills import Prefill
 
