--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/egress.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/egress.py
@@ -208,7 +208,7 @@
 
 
 class _NewConnection(EgressConnection):
-    """A new connection, which starts with an exchange that waits for it."""
+    """A new connection that first carries the exchange that opened it."""
 
     def __init__(self, pool: EgressPool, address: Address, exchange: Exchange) -> None:
         super().__init__(pool, address)
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/ingress.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/ingress.py
@@ -229,7 +229,7 @@
             self._no_body = event.method == b"HEAD"
             self._body = []
             self._size = 0
-            # The time limit of heads does not apply to the body.
+            # A body may take longer than a head, up to the idle time-out.
             self._start_timer(
                 self._handler.limits().idle_timeout, self._on_read_timeout
             )
