--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/fetch.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/fetch.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fetched:
+class FetchedResponse:
     """A whole answer."""
 
     status: int
@@ -31,7 +31,7 @@
     """Collects one answer."""
 
     def __init__(self) -> None:
-        self.result: Deferred[Fetched | Unreachable | Lost] = Deferred()
+        self.result: Deferred[FetchedResponse | Unreachable | Lost] = Deferred()
         self._status = 0
         self._body: list[bytes] = []
 
@@ -45,13 +45,13 @@
 
     def on_end(self) -> None:
         """Hand the answer over."""
-        self.finish(Fetched(self._status, b"".join(self._body)))
+        self.finish(FetchedResponse(self._status, b"".join(self._body)))
 
     def on_error(self, error: BrokenExchangeError) -> None:
         """Tell whether the call may have been carried out."""
         self.finish(Lost() if error.sent else Unreachable())
 
-    def finish(self, result: Fetched | Unreachable | Lost) -> None:
+    def finish(self, result: FetchedResponse | Unreachable | Lost) -> None:
         """Fire the result once."""
         if not self.result.called:
             self.result.callback(result)
@@ -78,7 +78,9 @@
         self._pool = pool
         self._address = address
 
-    async def fetch(self, call: Call, seconds: float) -> Fetched | Unreachable | Lost:
+    async def fetch(
+        self, call: Call, seconds: float
+    ) -> FetchedResponse | Unreachable | Lost:
         """Make a call; an answer that takes longer counts as lost."""
         collector = _Collector()
         exchange = Exchange(
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/observers.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/observers.py
@@ -72,7 +72,7 @@
                 seconds=signals.backoff,
             )
         if signals.tells_limit:
-            self._components.permits.note_named(
+            self._components.permits.note_response_limit(
                 self._upstream, signals.limit, self._sent_at, self._latest_delivery(now)
             )
         else:
@@ -84,7 +84,7 @@
         """Return the latest time at which the request arrived, in seconds."""
         return min(now, self._sent_at + CONNECT_SECONDS)
 
-    def _note_leaving(self, reached_by: float) -> None:
+    def _note_leaving(self, delivered_at: float) -> None:
         """Note that the upstream is leaving, and announce it to peers.
 
         While the table is unreachable its row cannot show this. Without an announcement
@@ -92,7 +92,7 @@
         """
         record = self._upstream.record
         directory = self._components.directory
-        if not directory.note_announced_leaving(self._upstream, reached_by):
+        if not directory.note_announced_leaving(self._upstream, delivered_at):
             return
         log_event("upstream-leaves", upstream=self._upstream.name, source=FROM_RESPONSE)
         self._components.announce_departure(Departure(record.name, None, record.born))
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/placement.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/placement.py
@@ -85,7 +85,7 @@
             if upstream.record.domain not in unreachable_domains
         ]
         chosen = self._choose_from(reachable or healthy or candidates, prefix, now)
-        chosen.sent_at = now
+        chosen.last_sent_at = now
         return chosen
 
     def note_connect_failure(self, upstream: KnownUpstream, *, refused: bool) -> None:
@@ -114,7 +114,7 @@
             for upstream in candidates
             if upstream.name not in tried and not upstream.in_backoff(now)
         ]
-        retry_after = self._permits.plan_return(remaining)
+        retry_after = self._permits.plan_retry(remaining)
         if retry_after is not None:
             return NoUpstream("no upstream below its limit", retry_after)
         if remaining:
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/requests.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/requests.py
@@ -24,7 +24,7 @@
     StreamProgress,
     Unsent,
 )
-from pondquay_daemon.relay.crashwatch import ContentPermit
+from pondquay_daemon.relay.crashmonitor import ContentPermit
 from pondquay_daemon.relay.heads import drop_connection_headers
 from pondquay_daemon.relay.reservations import Reservation
 from pondquay_daemon.relay.retrying import RetryPermit
@@ -213,7 +213,7 @@
 
     async def _choose_upstream(self, sends: int) -> KnownUpstream | Refusal:
         """Return the upstream to try next, or a refusal."""
-        refusal = self._content_permit.check_again(sends)
+        refusal = self._content_permit.recheck(sends)
         if refusal is not None:
             return self._make_refusal(refusal.reason, refusal.retry_after)
         upstream = await self._sender.choose_upstream()
