--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/fetch.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/fetch.py
@@ -7,7 +7,7 @@
 
 from twisted.internet.defer import Deferred
 
-from pondquay.tables import Lost, Unreachable
+from pondquay.tables import OutcomeUnknown, Unreachable
 from pondquay_daemon.relay.egress import Exchange, ExchangeListener
 
 if TYPE_CHECKING:
@@ -31,7 +31,9 @@
     """Collects one response."""
 
     def __init__(self) -> None:
-        self.result: Deferred[FetchedResponse | Unreachable | Lost] = Deferred()
+        self.result: Deferred[FetchedResponse | Unreachable | OutcomeUnknown] = (
+            Deferred()
+        )
         self._status = 0
         self._body: list[bytes] = []
 
@@ -49,9 +51,9 @@
 
     def on_error(self, error: BrokenExchangeError) -> None:
         """Complete the call as failed; it may have run if the request was sent."""
-        self.finish(Lost() if error.sent else Unreachable())
+        self.finish(OutcomeUnknown() if error.sent else Unreachable())
 
-    def finish(self, result: FetchedResponse | Unreachable | Lost) -> None:
+    def finish(self, result: FetchedResponse | Unreachable | OutcomeUnknown) -> None:
         """Fire the result, unless it has fired already."""
         if not self.result.called:
             self.result.callback(result)
@@ -80,7 +82,7 @@
 
     async def fetch(
         self, call: Call, seconds: float
-    ) -> FetchedResponse | Unreachable | Lost:
+    ) -> FetchedResponse | Unreachable | OutcomeUnknown:
         """Make a call.
 
         :param seconds: timeout, after which a call that was sent has an unknown outcome
@@ -93,7 +95,7 @@
         def on_timeout() -> None:
             sent = exchange.sent
             exchange.cancel()
-            collector.finish(Lost() if sent else Unreachable())
+            collector.finish(OutcomeUnknown() if sent else Unreachable())
 
         timer = self._clock.callLater(seconds, on_timeout)
         self._pool.start(self._address, exchange)
