--- a/packages/pondquay-daemon/src/pondquay_daemon/peers.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/peers.py
@@ -199,7 +199,7 @@
     def link_closed(self, peer: InstanceId) -> None:
         """Note that a peer cannot be reached."""
         log_event("peer-disconnected", peer=peer)
-        self.table.disconnect(peer)
+        self.table.note_disconnected(peer)
         for number, question in list(self._questions.items()):
             if question.peer == peer:
                 del self._questions[number]
--- a/packages/pondquay-daemon/src/pondquay_daemon/recovery.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/recovery.py
@@ -262,7 +262,7 @@
             return None
         response = Response(found.stream)
         await self._replay(upstream.url, response, sink)
-        if not response.whole:
+        if not response.complete:
             if not response.frames and call.repeatable:
                 return None
             return Refusal(
@@ -300,19 +300,19 @@
         return None
 
     async def _replay(self, url: str, response: Response, sink: FrameSink) -> None:
-        def take(frame: Frame) -> None:
-            response.take(frame)
+        def add_frame(frame: Frame) -> None:
+            response.add_frame(frame)
             if response.frames and response.frames[-1] is frame and not frame.finish:
                 sink.pass_on(frame)
 
         for _ in range(MAX_RESUMES):
             try:
                 await self._engines.resume(
-                    url, response.stream, response.next_offset, take
+                    url, response.stream, response.next_offset, add_frame
                 )
             except (RefusedError, MayHaveRunError):
                 return
-            if response.whole:
+            if response.complete:
                 return
 
     async def _report_end(
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/attempts.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/attempts.py
@@ -336,6 +336,6 @@
         if cancel and self._exchange is not None:
             self._exchange.cancel()
         if self._progress is not None:
-            self._progress.reader.break_off()
+            self._progress.reader.discard_partial()
         if not self._result.called:
             self._result.callback(outcome)
--- a/packages/pondquay-daemon/src/pondquay_daemon/serviceruns.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/serviceruns.py
@@ -70,7 +70,7 @@
         self, progress: Progress, call: PlainCall, started: Started
     ) -> ServiceResponse | None:
         upstream = started.placement.upstream
-        progress.life.dispatch()
+        progress.lifecycle.dispatch()
         name = name_stream(call.request, started.attempt.id)
         try:
             response = await self._services.call(upstream.url, name, call.call)
@@ -80,10 +80,10 @@
         except MayHaveRunError as error:
             self._attempts.log_failure(call, started, error)
             self._attempts.avoid(progress, started)
-            progress.life.lose()
+            progress.lifecycle.mark_unknown()
             return None
         upstream.circuit.succeed()
-        progress.life.finish()
+        progress.lifecycle.finish()
         return response
 
     async def _finish_call(
--- a/packages/pondquay-daemon/src/pondquay_daemon/upstreams.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/upstreams.py
@@ -30,7 +30,7 @@
 LOAD_SECONDS = 0.5
 LATE_SECONDS = 0.1
 STALE_SECONDS = 5.0
-WHOLE_SHARE = 100
+TOTAL_SHARE_PERCENT = 100
 MAX_PREFIXES = 2000
 
 
@@ -260,7 +260,7 @@
         if model is None:
             return None
         digest = blake2b(str(wish.request).encode(), digest_size=4).digest()
-        point = int.from_bytes(digest, "big") % WHOLE_SHARE
+        point = int.from_bytes(digest, "big") % TOTAL_SHARE_PERCENT
         for version, share in sorted(model.versions.items()):
             if point < share:
                 return version
--- a/packages/pondquay/src/pondquay/budgets/succession.py
+++ b/packages/pondquay/src/pondquay/budgets/succession.py
@@ -89,7 +89,7 @@
         rows = yield from read_rows(prefixes=(holder_prefix(holder),))
         if isinstance(rows, Unreachable):
             return
-        for row in rows.starting(holder_prefix(holder)):
+        for row in rows.list_with_prefix(holder_prefix(holder)):
             grant = load_grant(row)
             if grant is None or grant.witness_id != self.instance:
                 continue
