--- a/packages/pondquay/src/pondquay/__init__.py
+++ b/packages/pondquay/src/pondquay/__init__.py
@@ -1,7 +1,8 @@
-"""Coordination parts for router fleets with prepaid token budgets.
+"""Coordination logic for router fleets with prepaid token budgets.
 
-The package holds the decisions of a router fleet and none of its sockets: time,
-randomness and messages come in, decisions and messages go out.
+The package makes the decisions of a router fleet and does no I/O: callers pass in the
+time, random numbers and received messages, and carry out the decisions and send the
+messages that they get back.
 """
 
 from __future__ import annotations
--- a/packages/pondquay/src/pondquay/addresses.py
+++ b/packages/pondquay/src/pondquay/addresses.py
@@ -1,4 +1,4 @@
-"""Addresses on the network."""
+"""Network addresses."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
     @classmethod
     def parse(cls, text: str) -> Address:
-        """Read ``host:port``.
+        """Parse ``host:port``.
 
-        :raises ValueError: if the text has another form
+        :raises ValueError: if the text is not a host and a port number
         """
         host, colon, port = text.rpartition(":")
         if not colon or not host or not port.isdigit() or int(port) > 65535:
--- a/packages/pondquay/src/pondquay/billing/__init__.py
+++ b/packages/pondquay/src/pondquay/billing/__init__.py
@@ -1,3 +1,3 @@
-"""Bills, the segments they are written in, and the fold that adds them up."""
+"""Billing: bills, segments of bills, and their aggregation into the ledger."""
 
 from __future__ import annotations
--- a/packages/pondquay/src/pondquay/billing/bills.py
+++ b/packages/pondquay/src/pondquay/billing/bills.py
@@ -1,4 +1,4 @@
-"""Bills and the segments in which instances write them to the table."""
+"""Bills, and the segments in which instances write them to the table."""
 
 from __future__ import annotations
 
@@ -18,10 +18,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Bill:
-    """Tokens that one attempt of a request cost.
+    """The tokens that an attempt of a request cost.
 
-    The ledger is a set by request: of several bills of one request the first that is
-    folded counts. Bills of the same attempt are the same bill.
+    A request is billed once, by the first of its bills that is folded into the ledger.
+    Several bills of the same attempt are duplicates.
+
+    :param key: the caller's key of the request
     """
 
     workspace: str
@@ -34,23 +36,26 @@
 
 
 def make_bill(request: RequestName, attempt: AttemptId, tokens: int) -> Bill:
-    """Return the bill of one attempt."""
+    """Return the bill of an attempt."""
     return Bill(request.workspace, request.key, str(attempt), tokens)
 
 
 def segment_key(writer: str, number: int) -> str:
-    """Return the key of a segment; a writer counts its segments up."""
+    """Return the key of a segment.
+
+    :param number: sequence number of the segment among those of its writer
+    """
     return f"{SEGMENT_PREFIX}{writer}/{number:012d}"
 
 
 def dump_segment(bills: Sequence[Bill]) -> JsonObject:
-    """Return what is stored of a segment."""
+    """Return the stored form of a segment."""
     return {"bills": _BILLS.dump_python(list(bills), mode="json")}
 
 
 def load_segment(value: JsonObject) -> list[Bill]:
-    """Read a segment.
+    """Parse the stored form of a segment.
 
-    :raises pydantic.ValidationError: if the row has another form
+    :raises pydantic.ValidationError: if the value is malformed
     """
     return _BILLS.validate_python(value["bills"])
--- a/packages/pondquay/src/pondquay/billing/fold.py
+++ b/packages/pondquay/src/pondquay/billing/fold.py
@@ -1,7 +1,7 @@
-"""The fold: adding bills up, each request once.
+"""Aggregation of bills into the ledger, which counts each request once.
 
-A fold takes segments out of the table and puts their bills into the ledger in one
-transaction, so two folders can never count or credit one segment twice.
+A fold deletes segments and adds their bills to the ledger in one transaction, so
+concurrent folds never count or credit a segment twice.
 """
 
 from __future__ import annotations
@@ -36,7 +36,11 @@
 
 @dataclass(frozen=True, slots=True)
 class BilledRow:
-    """The one bill of a request, and every attempt that was ever billed for it."""
+    """The ledger entry of a request.
+
+    :param tokens: tokens billed for the request
+    :param attempts: all attempts for which a bill was written
+    """
 
     tokens: int
     attempts: tuple[str, ...]
@@ -44,9 +48,11 @@
 
 @dataclass(frozen=True, slots=True)
 class AccountRow:
-    """What a workspace was billed.
+    """The account of a workspace.
 
-    :param surplus: tokens of second runs, given back to the budget
+    :param billed: tokens billed
+    :param requests: number of requests billed
+    :param surplus: tokens of further runs of billed requests, returned to the budget
     """
 
     billed: int = 0
@@ -59,7 +65,7 @@
 
 
 def bill_key(workspace: str, key: str) -> str:
-    """Return the key of the ledger row of a request."""
+    """Return the key of a request's ledger row."""
     return f"{BILL_PREFIX}{workspace}/{key}"
 
 
@@ -69,18 +75,18 @@
 
 
 def load_account(row: Row | None) -> AccountRow:
-    """Read an account; a workspace that was never billed has an empty one."""
+    """Parse an account row; without a row the account is empty."""
     return AccountRow() if row is None else _ACCOUNT.validate_python(row.value)
 
 
 def load_billed(row: Row | None) -> BilledRow | None:
-    """Read a ledger row."""
+    """Parse a ledger row."""
     return None if row is None else _BILLED.validate_python(row.value)
 
 
 @dataclass(frozen=True, slots=True)
 class Folded:
-    """How many segments and bills one fold took in."""
+    """The numbers of segments and bills of a fold, and the tokens it returned."""
 
     segments: int
     bills: int
@@ -88,8 +94,14 @@
 
 
 @dataclass(slots=True)
-class _Tally:
-    """The rows as they stand after the bills taken in so far."""
+class _LedgerUpdate:
+    """Ledger, account and budget rows with some bills applied.
+
+    :param rows: the rows as read from the table
+    :param ledger: changed ledger rows by key
+    :param accounts: changed accounts by key
+    :param surplus: tokens returned to the budget by workspace
+    """
 
     rows: Rows
     ledger: dict[str, BilledRow] = field(default_factory=dict)
@@ -97,33 +109,35 @@
     surplus: dict[str, int] = field(default_factory=dict)
 
     def add(self, bill: Bill) -> None:
-        """Take in one bill."""
-        at_bill = bill_key(bill.workspace, bill.key)
-        at_account = account_key(bill.workspace)
-        known = self.ledger.get(at_bill) or load_billed(self.rows.rows.get(at_bill))
-        account = self.accounts.get(at_account)
+        """Apply a bill."""
+        ledger_key = bill_key(bill.workspace, bill.key)
+        balance_key = account_key(bill.workspace)
+        existing = self.ledger.get(ledger_key) or load_billed(
+            self.rows.rows.get(ledger_key)
+        )
+        account = self.accounts.get(balance_key)
         if account is None:
-            account = load_account(self.rows.rows.get(at_account))
-        if known is None:
-            self.ledger[at_bill] = BilledRow(bill.tokens, (bill.attempt,))
-            self.accounts[at_account] = replace(
+            account = load_account(self.rows.rows.get(balance_key))
+        if existing is None:
+            self.ledger[ledger_key] = BilledRow(bill.tokens, (bill.attempt,))
+            self.accounts[balance_key] = replace(
                 account,
                 billed=account.billed + bill.tokens,
                 requests=account.requests + 1,
             )
             return
-        if bill.attempt in known.attempts:
+        if bill.attempt in existing.attempts:
             return
-        attempts = (*known.attempts, bill.attempt)
-        self.ledger[at_bill] = BilledRow(known.tokens, attempts)
-        self.accounts[at_account] = replace(
+        attempts = (*existing.attempts, bill.attempt)
+        self.ledger[ledger_key] = BilledRow(existing.tokens, attempts)
+        self.accounts[balance_key] = replace(
             account, surplus=account.surplus + bill.tokens
         )
-        gained = self.surplus.get(bill.workspace, 0) + bill.tokens
-        self.surplus[bill.workspace] = gained
+        returned = self.surplus.get(bill.workspace, 0) + bill.tokens
+        self.surplus[bill.workspace] = returned
 
     def changed_rows(self) -> dict[str, JsonObject]:
-        """Return the new values of all rows that change."""
+        """Return the new values of all changed rows."""
         changed: dict[str, JsonObject] = {}
         for key, billed in self.ledger.items():
             changed[key] = _BILLED.dump_python(billed, mode="json")
@@ -132,45 +146,49 @@
         for workspace, tokens in self.surplus.items():
             key = budget_key(workspace)
             budget = load_budget(self.rows.rows.get(key)) or BudgetRow(0)
-            lowered = replace(
+            reduced = replace(
                 budget,
                 granted=budget.granted - tokens,
                 used=max(0, budget.used - tokens),
             )
-            changed[key] = dump_row(lowered)
+            changed[key] = dump_row(reduced)
         return changed
 
 
-def fold_segments(most_bills: int = MAX_BILLS) -> Program[Folded | Unreachable]:
-    """Take in some segments; nothing is lost or counted twice if this is cut short.
+def fold_segments(max_bills: int = MAX_BILLS) -> Program[Folded | Unreachable]:
+    """Fold a number of segments into the ledger.
+
+    An interrupted fold loses no bill and counts none twice. If the outcome of the
+    commit is unknown, the next fold reads the segments that remain.
 
-    A lost answer needs no care: the next fold reads the segments that still stand.
+    :param max_bills: maximum number of bills, except that a larger first segment is
+        folded completely
     """
     listed = yield from read_rows(prefixes=(SEGMENT_PREFIX,))
     if isinstance(listed, Unreachable):
         return listed
-    chosen = _choose_segments(listed.list_with_prefix(SEGMENT_PREFIX), most_bills)
+    chosen = _choose_segments(listed.list_with_prefix(SEGMENT_PREFIX), max_bills)
     bills = [bill for row in chosen for bill in load_segment(row.value)]
     if not chosen:
         return Folded(0, 0, 0)
     rows = yield from read_rows(*_bill_keys(bills))
     if isinstance(rows, Unreachable):
         return rows
-    tally = _Tally(rows)
+    update = _LedgerUpdate(rows)
     for bill in bills:
-        tally.add(bill)
-    reply = yield from commit_rows(_fold_transaction(chosen, tally))
+        update.add(bill)
+    reply = yield from commit_rows(_fold_transaction(chosen, update))
     if isinstance(reply, Committed):
-        return Folded(len(chosen), len(bills), sum(tally.surplus.values()))
+        return Folded(len(chosen), len(bills), sum(update.surplus.values()))
     return Unreachable()
 
 
-def _choose_segments(rows: Sequence[Row], most_bills: int) -> list[Row]:
+def _choose_segments(rows: Sequence[Row], max_bills: int) -> list[Row]:
     chosen: list[Row] = []
     count = 0
     for row in rows:
         count += len(row.value["bills"])
-        if chosen and count > most_bills:
+        if chosen and count > max_bills:
             break
         chosen.append(row)
     return chosen
@@ -185,10 +203,10 @@
     return tuple(keys)
 
 
-def _fold_transaction(chosen: Sequence[Row], tally: _Tally) -> Transaction:
+def _fold_transaction(chosen: Sequence[Row], update: _LedgerUpdate) -> Transaction:
     conditions = [Condition(row.key, row.version) for row in chosen]
     writes = [Write(row.key, None) for row in chosen]
-    for key, value in tally.changed_rows().items():
-        conditions.append(Condition(key, tally.rows.version(key)))
+    for key, value in update.changed_rows().items():
+        conditions.append(Condition(key, update.rows.version(key)))
         writes.append(Write(key, value))
     return Transaction("fold", tuple(conditions), tuple(writes))
--- a/packages/pondquay/src/pondquay/billing/programs.py
+++ b/packages/pondquay/src/pondquay/billing/programs.py
@@ -37,14 +37,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Written:
-    """The bills are in the table."""
+    """The bills are stored."""
 
 
 def write_segment(key: str, bills: Sequence[Bill]) -> Program[Written | Unreachable]:
-    """Write bills in one transaction.
+    """Write a segment of bills in one transaction.
 
-    After a lost answer the same segment is to be written again under the same key: a
-    bill that arrives twice is recognised by its attempt.
+    If the outcome is unknown, the caller must write the same segment again under the
+    same key. A fold recognises duplicate bills by their attempts.
     """
     transaction = Transaction(
         f"flush/{key}", (Condition(key, ABSENT),), (Write(key, dump_segment(bills)),)
@@ -60,7 +60,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Statement:
-    """What a workspace was billed, request by request."""
+    """The account of a workspace with its billed requests.
+
+    :param pending: bills that are not folded into the ledger yet
+    """
 
     workspace: str
     account: AccountRow
@@ -69,7 +72,7 @@
 
 
 def read_statement(workspace: str) -> Program[Statement | Unreachable]:
-    """Read the account of a workspace with each of its bills."""
+    """Read the account of a workspace with all its bills."""
     prefix = f"{BILL_PREFIX}{workspace}/"
     rows = yield from read_rows(
         account_key(workspace), prefixes=(prefix, SEGMENT_PREFIX)
--- a/packages/pondquay/src/pondquay/claims/__init__.py
+++ b/packages/pondquay/src/pondquay/claims/__init__.py
@@ -1,3 +1,3 @@
-"""Claims: what makes a request that is not repeatable run at most once."""
+"""Claims, which ensure that a request that is not repeatable runs at most once."""
 
 from __future__ import annotations
--- a/packages/pondquay/src/pondquay/claims/programs.py
+++ b/packages/pondquay/src/pondquay/claims/programs.py
@@ -1,7 +1,7 @@
 """Table programs that claim requests and release claims.
 
-A claim is a row that only its claimant may delete. No timer and no other instance
-releases it, so a claimant that was paused for any length does no harm.
+A claim is a row that only its claimant deletes. It does not expire, so a claimant may
+be paused for any time without another instance running the request.
 """
 
 from __future__ import annotations
@@ -34,9 +34,9 @@
 class ClaimRow:
     """A claim on a request.
 
-    :param claimant: the instance that made it, in that one of its lives
-    :param nonce: random, made for this one claim
-    :param finished: the request ran and its answer was whole
+    :param claimant: incarnation of the instance that made the claim
+    :param nonce: random identifier of the claim
+    :param finished: whether the request ran and its response was complete
     """
 
     claimant: str
@@ -46,19 +46,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Claimed:
-    """The request is ours alone: it may run, once."""
+    """The claim succeeded: the request may run once."""
 
 
 @dataclass(frozen=True, slots=True)
 class AlreadyClaimed:
-    """Another attempt claimed the request before."""
+    """Another attempt has claimed the request."""
 
     row: ClaimRow
 
 
 @dataclass(frozen=True, slots=True)
 class ClaimUnknown:
-    """The claim may stand or come to stand: do not run, and release it later."""
+    """The claim may be stored now or later: the request must not run.
+
+    The claimant releases the claim later.
+    """
 
 
 _CLAIM: TypeAdapter[ClaimRow] = TypeAdapter(ClaimRow)
@@ -70,7 +73,7 @@
 
 
 def load_claim(row: Row | None) -> ClaimRow | None:
-    """Read a claim from its row."""
+    """Parse a claim row."""
     return None if row is None else _CLAIM.validate_python(row.value)
 
 
@@ -80,7 +83,7 @@
 def claim_request(
     request: RequestName, claimant: str, nonce: str
 ) -> Program[ClaimOutcome]:
-    """Claim a request before any byte of it goes to an upstream."""
+    """Claim a request before any byte of it is sent to an upstream."""
     key = claim_key(request)
     value = _CLAIM.dump_python(ClaimRow(claimant, nonce), mode="json")
     transaction = Transaction(
@@ -94,24 +97,24 @@
     rows = yield from read_rows(key)
     if isinstance(rows, Unreachable):
         return ClaimUnknown()
-    standing = load_claim(rows.rows.get(key))
-    if standing is None:
+    existing = load_claim(rows.rows.get(key))
+    if existing is None:
         return Unreachable() if isinstance(reply, Conflict) else ClaimUnknown()
-    return Claimed() if standing.nonce == nonce else AlreadyClaimed(standing)
+    return Claimed() if existing.nonce == nonce else AlreadyClaimed(existing)
 
 
 @dataclass(frozen=True, slots=True)
 class Released:
-    """The claim no longer stands, or never was ours."""
+    """The claim no longer exists, is finished or belongs to another claimant."""
 
 
 def release_claim(request: RequestName, nonce: str) -> Program[Released | Unreachable]:
-    """Delete our own claim on a request that certainly did not run."""
+    """Delete the caller's claim on a request that certainly did not run."""
     return (yield from _change_claim(request, nonce, None))
 
 
 def finish_claim(request: RequestName, nonce: str) -> Program[Released | Unreachable]:
-    """Note in our own claim that the request ran and its answer was whole."""
+    """Mark the caller's claim as finished, after the complete response."""
     finished = ClaimRow(claimant="", nonce=nonce, finished=True)
     return (yield from _change_claim(request, nonce, finished))
 
@@ -123,8 +126,8 @@
     rows = yield from read_rows(key)
     if isinstance(rows, Unreachable):
         return rows
-    standing = load_claim(rows.rows.get(key))
-    if standing is None or standing.nonce != nonce:
+    existing = load_claim(rows.rows.get(key))
+    if existing is None or existing.nonce != nonce:
         return Released()
     value = None if changed is None else _CLAIM.dump_python(changed, mode="json")
     transaction = Transaction(
--- a/packages/pondquay/src/pondquay/configuration/__init__.py
+++ b/packages/pondquay/src/pondquay/configuration/__init__.py
@@ -1,3 +1,3 @@
-"""Configuration: entities, intents, plans, and the versions that are in force."""
+"""Configuration: entities, intents, plans and versions."""
 
 from __future__ import annotations
--- a/packages/pondquay/src/pondquay/configuration/changes.py
+++ b/packages/pondquay/src/pondquay/configuration/changes.py
@@ -1,4 +1,4 @@
-"""Changes of single entities, of which plans and versions are made."""
+"""Changes of single entities, from which plans and versions are composed."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Change(BaseModel):
-    """One entity before and after; ``None`` where it does not exist."""
+    """An entity before and after a change; ``None`` if it does not exist."""
 
     model_config = ConfigDict(frozen=True, extra="forbid")
 
@@ -17,19 +17,21 @@
 
     @property
     def entity(self) -> Entity:
-        """The entity concerned, as it will be or as it was."""
+        """The entity after the change, or before it if it is removed."""
         entity = self.after or self.before
         assert entity is not None
         return entity
 
     @property
     def identity(self) -> str:
-        """Kind and name of the entity concerned."""
+        """Kind and name of the entity, as ``kind name``."""
         entity = self.after or self.before
         assert entity is not None
         return f"{entity.kind} {entity.name}"
 
     def required_consents(self) -> frozenset[str]:
-        """Return the partners that must agree."""
-        sides = [one.required_consents() for one in (self.before, self.after) if one]
-        return frozenset().union(*sides)
+        """Return the partners that must consent to the change."""
+        consents = [
+            side.required_consents() for side in (self.before, self.after) if side
+        ]
+        return frozenset().union(*consents)
--- a/packages/pondquay/src/pondquay/configuration/documents.py
+++ b/packages/pondquay/src/pondquay/configuration/documents.py
@@ -1,7 +1,7 @@
-"""The configuration in force, as a version and the entities it holds.
+"""The configuration in force: a version number and its entities.
 
-A version is stored as the changes from the one before, so that an instance that is a
-version behind fetches a few hundred bytes and not the whole.
+A version is stored as its changes from the previous version, so that instances fetch
+only the changes that they lack.
 """
 
 from __future__ import annotations
@@ -27,7 +27,10 @@
 
 
 class Delta(BaseModel):
-    """The changes that lead from one version to the next."""
+    """The changes from the previous version to this version.
+
+    :param plan: identifier of the plan that made the changes
+    """
 
     model_config = ConfigDict(frozen=True, extra="forbid")
 
@@ -37,22 +40,22 @@
 
 
 def delta_key(version: int) -> str:
-    """Return the key of the row that leads to a version."""
+    """Return the key of the row with the delta of a version."""
     return f"{DELTA_PREFIX}{version:012d}"
 
 
 @dataclass(frozen=True)
 class Document:
-    """All entities of one version, by ``kind name``.
+    """All entities of a version, by ``kind name``.
 
-    What each request looks up is indexed once for each version.
+    The indexes for lookups by request are built once per version.
     """
 
     version: int = 0
     entities: Mapping[str, Entity] = field(default_factory=dict)
 
-    def replace_all(self, changes: Iterable[Change]) -> dict[str, Entity]:
-        """Return the entities as they are after some changes."""
+    def apply_changes(self, changes: Iterable[Change]) -> dict[str, Entity]:
+        """Return the entities after some changes."""
         entities = dict(self.entities)
         for change in changes:
             if change.after is None:
@@ -64,16 +67,16 @@
     def apply(self, delta: Delta) -> Document:
         """Return the next version.
 
-        :raises InvariantError: if the delta does not lead on from this version
+        :raises InvariantError: if the delta does not follow this version
         """
         if delta.version != self.version + 1:
             raise InvariantError(
-                f"version {delta.version} does not follow {self.version}"
+                f"version {delta.version} does not follow version {self.version}"
             )
-        return Document(delta.version, self.replace_all(delta.changes))
+        return Document(delta.version, self.apply_changes(delta.changes))
 
     def find(self, kind: type[E], name: str) -> E | None:
-        """Return the entity of a kind and name."""
+        """Return the entity with a kind and name, or ``None``."""
         entity = self.entities.get(f"{kind.__name__.lower()} {name}")
         return entity if isinstance(entity, kind) else None
 
@@ -86,13 +89,13 @@
 
     @cached_property
     def _by_digest(self) -> dict[str, Workspace]:
-        return {one.key_digest: one for one in self.list(Workspace)}
+        return {workspace.key_digest: workspace for workspace in self.list(Workspace)}
 
     def list(self, kind: type[E]) -> list[E]:
         """Return all entities of a kind."""
         found = self._by_kind.get(kind, [])
-        return [one for one in found if isinstance(one, kind)]
+        return [entity for entity in found if isinstance(entity, kind)]
 
     def find_workspace_by_digest(self, digest: str) -> Workspace | None:
-        """Return the workspace whose callers' key has this digest."""
+        """Return the workspace whose key has this digest, or ``None``."""
         return self._by_digest.get(digest)
--- a/packages/pondquay/src/pondquay/configuration/entities.py
+++ b/packages/pondquay/src/pondquay/configuration/entities.py
@@ -1,4 +1,4 @@
-"""What operators configure: workspaces, budgets, services, models and loans."""
+"""The entities that operators configure."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Priority(StrEnum):
-    """How urgent a request is, the most urgent first."""
+    """The priority of a request; the highest comes first."""
 
     HIGH = "high"
     NORMAL = "normal"
@@ -25,10 +25,10 @@
 
 
 class Entity(BaseModel):
-    """Base of everything that is configured.
+    """Base class of all entities.
 
-    :param name: unique among the entities of its kind
-    :param partner: the partner it belongs to
+    :param name: name, unique among the entities of a kind
+    :param partner: partner that owns the entity
     """
 
     model_config = ConfigDict(frozen=True, extra="forbid")
@@ -37,15 +37,15 @@
     partner: Name
 
     def required_consents(self) -> frozenset[str]:
-        """Return the partners that must agree to a change of this entity."""
+        """Return the partners that must consent to a change of this entity."""
         return frozenset({self.partner})
 
 
 class Workspace(Entity):
-    """A workspace of a partner, named by a caller's key.
+    """A workspace of a partner; a caller's key identifies it.
 
-    :param key_digest: SHA-256 of the caller's key; the key itself is never stored
-    :param priority: what requests have that state none
+    :param key_digest: SHA-256 digest of the key; the key itself is never stored
+    :param priority: default priority of requests
     """
 
     kind: Literal["workspace"] = "workspace"
@@ -61,10 +61,10 @@
 
 
 class Service(Entity):
-    """A plain service.
+    """A plain HTTP service.
 
-    :param price: tokens that one call costs
-    :param repeatable: HTTP methods whose calls may be repeated
+    :param price: tokens that a call costs
+    :param repeatable: HTTP methods whose calls may be sent again
     """
 
     kind: Literal["service"] = "service"
@@ -73,11 +73,10 @@
 
 
 class Model(Entity):
-    """A model with the versions that serve it.
+    """A model and its versions.
 
-    :param output_limit: output tokens of a request that states no limit, and the
-        most that a request may ask for
-    :param versions: share of the requests for each version, in percent
+    :param output_limit: default and maximum number of output tokens of a request
+    :param versions: share of the requests that each version serves, in percent
     """
 
     kind: Literal["model"] = "model"
@@ -87,17 +86,17 @@
     @field_validator("versions")
     @classmethod
     def check_shares(cls, versions: dict[str, int]) -> dict[str, int]:
-        """Refuse shares that do not make a whole."""
+        """Check that the shares add up to 100 percent."""
         if sum(versions.values()) != TOTAL_SHARE_PERCENT:
             raise ValueError(f"shares must add up to {TOTAL_SHARE_PERCENT}")
         return versions
 
 
 class Loan(Entity):
-    """Replicas of a model that their owner lets another partner use as well.
+    """Replicas of a model that their owner shares with another partner.
 
-    :param borrower: the partner that may use them
-    :param replicas: how many
+    :param borrower: partner that may use the replicas
+    :param replicas: number of replicas
     """
 
     kind: Literal["loan"] = "loan"
@@ -106,7 +105,7 @@
     replicas: Annotated[int, Field(ge=0, le=10**4)]
 
     def required_consents(self) -> frozenset[str]:
-        """Both sides must agree to a loan."""
+        """Return the owner and the borrower, which must both consent."""
         return frozenset({self.partner, self.borrower})
 
 
--- a/packages/pondquay/src/pondquay/configuration/intents.py
+++ b/packages/pondquay/src/pondquay/configuration/intents.py
@@ -1,4 +1,4 @@
-"""Intents: INI files in which a partner states what it wants."""
+"""Intents: INI files with the entities that a partner adds, changes and removes."""
 
 from __future__ import annotations
 
@@ -19,20 +19,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Intent:
-    """What a partner wants: entities as they shall be, and identities that shall go."""
+    """The desired state of a partner's entities.
+
+    :param entities: entities to add or change
+    :param removed: identities, as ``kind name``, of entities to remove
+    """
 
     entities: tuple[Entity, ...]
     removed: tuple[str, ...]
 
 
 def read_intent(text: str, source: str, partner: str) -> Intent:
-    """Read an intent.
+    """Parse an intent.
 
-    A section is ``[kind name]``; its keys are the entity's fields. A section with the
-    one key ``remove = yes`` takes the entity away.
+    A section ``[kind name]`` describes an entity; its keys are the entity's fields. A
+    section with ``remove = yes`` as its only key removes the entity.
 
-    :param source: the file's name, for findings
-    :raises InvalidInputError: with all findings, each with its line
+    :param source: name of the file, used in findings
+    :raises InvalidInputError: with all findings, each with its line number
     """
     findings = Findings()
     document = read_ini(text, source, findings)
@@ -79,10 +83,10 @@
     try:
         return entity_type.model_validate(values)
     except ValidationError as error:
-        for one in error.errors():
-            key = str(one["loc"][0]) if one["loc"] else ""
+        for problem in error.errors():
+            key = str(problem["loc"][0]) if problem["loc"] else ""
             findings.add(
-                section.describe_location(key), f"{section.name}.{key}", one["msg"]
+                section.describe_location(key), f"{section.name}.{key}", problem["msg"]
             )
         return None
 
@@ -96,7 +100,7 @@
 
 
 def _parse_shares(text: str) -> dict[str, str]:
-    """Read ``v1:90, v2:10``."""
+    """Parse shares such as ``v1:90, v2:10``."""
     shares = {}
     for part in text.replace(",", " ").split():
         version, _, share = part.partition(":")
--- a/packages/pondquay/src/pondquay/configuration/plans.py
+++ b/packages/pondquay/src/pondquay/configuration/plans.py
@@ -1,4 +1,4 @@
-"""Plans: what an intent would change, who must agree, and to which base it belongs."""
+"""Plans: the changes that an intent makes to a base version, and their consents."""
 
 from __future__ import annotations
 
@@ -22,18 +22,19 @@
 
 
 class PlanState(StrEnum):
-    """What became of a plan."""
+    """Whether a plan is in force."""
 
     PROPOSED = "proposed"
     CONFIRMED = "confirmed"
 
 
 class Plan(BaseModel):
-    """Changes that take effect together once all partners concerned have confirmed.
+    """Changes that take effect together once all required partners have confirmed.
 
-    :param base: the version of the configuration that the changes were made against
-    :param digest: SHA-256 over base and changes
-    :param version: the version that the plan made, once confirmed
+    :param base: configuration version that the changes are based on
+    :param digest: SHA-256 digest of the base and the changes
+    :param consents: partners that have confirmed
+    :param version: configuration version that the plan created, once confirmed
     """
 
     model_config = ConfigDict(frozen=True, extra="forbid")
@@ -48,7 +49,7 @@
     version: int | None = None
 
     def missing_consents(self) -> frozenset[str]:
-        """Return the partners whose consent is still missing."""
+        """Return the required partners that have not confirmed yet."""
         needed: frozenset[str] = frozenset()
         for change in self.changes:
             needed |= change.required_consents()
@@ -64,18 +65,20 @@
     plan_id: str,
     partner: str,
     document: Document,
-    wanted: Iterable[Entity],
+    desired: Iterable[Entity],
     removed: Iterable[str] = (),
 ) -> Plan:
-    """Compare what a partner wants with what is in force.
+    """Return a plan with the differences between an intent and a document.
 
-    :param wanted: entities as they shall be; those not named stay as they are
-    :param removed: identities, as ``kind name``, of entities that shall go
-    :raises InvalidInputError: if something belongs to another partner, is not there
-        to be removed, or refers to what does not exist
+    :param desired: entities to add or change; other entities stay unchanged
+    :param removed: identities, as ``kind name``, of entities to remove
+    :raises InvalidInputError: if an entity belongs to another partner, a removed entity
+        does not exist, a budget has no workspace, or two workspaces have the same key
     """
     findings = Findings()
-    after = {f"{one.model_dump()['kind']} {one.name}": one for one in wanted}
+    after = {
+        f"{target.model_dump()['kind']} {target.name}": target for target in desired
+    }
     changes = []
     for identity, entity in after.items():
         before = document.entities.get(identity)
@@ -102,8 +105,8 @@
 
 
 def digest_changes(base: int, changes: Iterable[Change]) -> str:
-    """Return the digest that names a plan's content."""
-    content = [base, [one.model_dump(mode="json") for one in changes]]
+    """Return the digest of a plan's base and changes."""
+    content = [base, [change.model_dump(mode="json") for change in changes]]
     return sha256(json.dumps(content, sort_keys=True).encode()).hexdigest()
 
 
@@ -132,8 +135,8 @@
 def _check_references(
     findings: Findings, document: Document, changes: Iterable[Change]
 ) -> None:
-    """Find budgets without a workspace, and callers' keys that are used twice."""
-    entities = document.replace_all(changes)
+    """Add findings for budgets without a workspace and for duplicate keys."""
+    entities = document.apply_changes(changes)
     digests: dict[str, str] = {}
     for identity, entity in sorted(entities.items()):
         values = entity.model_dump()
--- a/packages/pondquay/src/pondquay/configuration/programs.py
+++ b/packages/pondquay/src/pondquay/configuration/programs.py
@@ -1,4 +1,4 @@
-"""Table programs that propose and confirm plans and fetch versions."""
+"""Table programs that propose and confirm plans and fetch configuration versions."""
 
 from __future__ import annotations
 
@@ -28,9 +28,9 @@
 
     from pondquay.tables import Program
 
-MAX_TRIES = 8
-MAX_DELTAS = 100
-MAX_BEHIND = 500
+MAX_CONFIRM_ATTEMPTS = 8
+MAX_DELTAS_PER_READ = 100
+MAX_VERSIONS_BEHIND = 500
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,7 +41,7 @@
 
 
 def propose_plan(plan: Plan) -> Program[Proposed | Unreachable]:
-    """Store a plan under its own name; storing it twice is storing it once."""
+    """Store a plan under its identifier; the operation is idempotent."""
     key = plan_key(plan.id)
     transaction = Transaction(
         f"propose/{plan.id}",
@@ -59,7 +59,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Confirmed:
-    """The plan is in force from this version on."""
+    """The plan is in force.
+
+    :param version: configuration version that the plan created
+    """
 
     plan: Plan
     version: int
@@ -67,14 +70,18 @@
 
 @dataclass(frozen=True, slots=True)
 class AwaitingConsent:
-    """The consent is noted; that of other partners is missing."""
+    """The consent is stored; consents of other partners are missing."""
 
     plan: Plan
 
 
 @dataclass(frozen=True, slots=True)
 class PlanOutdated:
-    """What the plan changes was changed since: a new plan is needed."""
+    """The plan conflicts with changes after its base version: a new plan is needed.
+
+    :param head: version in force
+    :param subject: identity of an entity that was changed, or another reason
+    """
 
     plan: Plan
     head: int
@@ -83,16 +90,16 @@
 
 @dataclass(frozen=True, slots=True)
 class BudgetTooLow:
-    """A budget cannot be lowered below what was granted or spent of it."""
+    """The new limit of a budget is lower than the tokens granted from it."""
 
     workspace: str
-    wanted: int
+    requested: int
     granted: int
 
 
 @dataclass(frozen=True, slots=True)
 class PlanUnknown:
-    """There is no plan of this name."""
+    """There is no plan with this identifier."""
 
 
 ConfirmOutcome = (
@@ -107,12 +114,12 @@
 
 
 def confirm_plan(plan_id: str, partner: str) -> Program[ConfirmOutcome]:
-    """Note a partner's consent, and put the plan in force if it was the last one.
+    """Store a partner's consent; put the plan in force if no consent is missing.
 
-    Of two that race, one moves the head and the other reads again. Confirming twice
-    is confirming once.
+    Retries if another transaction changes the head concurrently. The operation is
+    idempotent.
     """
-    for _ in range(MAX_TRIES):
+    for _ in range(MAX_CONFIRM_ATTEMPTS):
         rows = yield from read_rows(plan_key(plan_id), HEAD_KEY)
         if isinstance(rows, Unreachable):
             return rows
@@ -145,17 +152,17 @@
 def _find_outdated(
     plan: Plan, rows: Rows
 ) -> Program[PlanOutdated | Unreachable | None]:
-    """Look for a version since the plan's base that touched what the plan touches."""
+    """Look for a version after the plan's base that changes an entity of the plan."""
     head = _head_version(rows)
-    if head - plan.base > MAX_BEHIND:
+    if head - plan.base > MAX_VERSIONS_BEHIND:
         return PlanOutdated(plan, head, "too many versions")
-    wanted = {change.identity for change in plan.changes}
+    planned = {change.identity for change in plan.changes}
     deltas = yield from fetch_deltas(plan.base, head)
     if isinstance(deltas, Unreachable):
         return deltas
     for delta in deltas:
         for change in delta.changes:
-            if change.identity in wanted:
+            if change.identity in planned:
                 return PlanOutdated(plan, head, change.identity)
     return None
 
@@ -163,7 +170,8 @@
 def _commit_consent(plan: Plan, rows: Rows) -> Program[ConfirmOutcome | None]:
     """Write the consent, and the new version if no consent is missing.
 
-    :returns: ``None`` if another transaction came first and all is to be read again
+    :returns: ``None`` if the commit failed or its outcome is unknown, so that the rows
+        must be read again
     """
     if plan.missing_consents():
         transaction = _consent_transaction(plan, rows)
@@ -202,17 +210,17 @@
     plan: Plan, version: int, rows: Rows, budgets: Rows
 ) -> Transaction:
     delta = Delta(version=version, plan=plan.id, changes=plan.changes)
-    at_plan = plan_key(plan.id)
-    at_delta = delta_key(version)
+    stored_plan_key = plan_key(plan.id)
+    new_delta_key = delta_key(version)
     conditions = [
         Condition(HEAD_KEY, rows.version(HEAD_KEY)),
-        Condition(at_plan, rows.version(at_plan)),
-        Condition(at_delta, ABSENT),
+        Condition(stored_plan_key, rows.version(stored_plan_key)),
+        Condition(new_delta_key, ABSENT),
     ]
     writes = [
         Write(HEAD_KEY, {"version": version}),
-        Write(at_plan, plan.model_dump(mode="json")),
-        Write(at_delta, delta.model_dump(mode="json")),
+        Write(stored_plan_key, plan.model_dump(mode="json")),
+        Write(new_delta_key, delta.model_dump(mode="json")),
     ]
     for workspace, limit in _limits(plan):
         key = budget_key(workspace)
@@ -223,7 +231,7 @@
 
 
 def _limits(plan: Plan) -> Iterator[tuple[str, int]]:
-    """Return the limits that a plan sets; a budget that is removed gets none."""
+    """Yield the budget limits that a plan sets; the limit of a removed budget is 0."""
     for change in plan.changes:
         if isinstance(change.after, Budget):
             yield change.after.name, change.after.tokens
@@ -236,7 +244,7 @@
 
 
 def _find_too_low(plan: Plan, budgets: Rows) -> BudgetTooLow | None:
-    removed = {one.identity for one in plan.changes if one.after is None}
+    removed = {change.identity for change in plan.changes if change.after is None}
     for workspace, limit in _limits(plan):
         row = load_budget(budgets.rows.get(budget_key(workspace)))
         if row is None or f"budget {workspace}" in removed:
@@ -247,16 +255,16 @@
 
 
 def read_head() -> Program[int | Unreachable]:
-    """Read the version that is in force."""
+    """Read the number of the version in force."""
     rows = yield from read_rows(HEAD_KEY)
     return rows if isinstance(rows, Unreachable) else _head_version(rows)
 
 
 def fetch_deltas(base: int, head: int) -> Program[tuple[Delta, ...] | Unreachable]:
-    """Fetch what leads from one version to another, in order."""
+    """Fetch the deltas from one version to another, in ascending order."""
     deltas: list[Delta] = []
-    for start in range(base + 1, head + 1, MAX_DELTAS):
-        stop = min(head + 1, start + MAX_DELTAS)
+    for start in range(base + 1, head + 1, MAX_DELTAS_PER_READ):
+        stop = min(head + 1, start + MAX_DELTAS_PER_READ)
         keys = [delta_key(version) for version in range(start, stop)]
         rows = yield from read_rows(*keys)
         if isinstance(rows, Unreachable) or any(key not in rows.rows for key in keys):
@@ -276,7 +284,7 @@
 
 
 def read_plan(plan_id: str) -> Program[Plan | PlanUnknown | Unreachable]:
-    """Read one plan."""
+    """Read a plan."""
     rows = yield from read_rows(plan_key(plan_id))
     if isinstance(rows, Unreachable):
         return rows
--- a/packages/pondquay/src/pondquay/errors.py
+++ b/packages/pondquay/src/pondquay/errors.py
@@ -1,4 +1,4 @@
-"""Exceptions of the kernel, and the findings that one of them reports."""
+"""Exceptions of the kernel, and the findings that ``InvalidInputError`` reports."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Finding:
-    """One thing that is wrong.
+    """A problem found in an input.
 
-    :param location: where, as ``file:line`` or as a field's path
+    :param location: ``file:line`` or the path of a field
     :param subject: the key or field concerned
-    :param message: what is wrong, in words for a person
+    :param message: a description of the problem for people
     """
 
     location: str
@@ -27,13 +27,13 @@
 
 
 class PondquayError(Exception):
-    """Base of every error that the kernel raises."""
+    """Base class of all errors that the kernel raises."""
 
 
 class InvalidInputError(PondquayError):
-    """Input from outside does not have the form that was agreed.
+    """External input is invalid.
 
-    :param findings: everything that was found wrong, each with its place
+    :param findings: all problems found, each with its location
     """
 
     def __init__(self, findings: Sequence[Finding]) -> None:
@@ -42,12 +42,12 @@
 
 
 class MalformedRowError(PondquayError):
-    """A row of a table does not have the form that was agreed."""
+    """A table row does not match its schema."""
 
 
 class UnknownPluginError(PondquayError):
-    """No plug-in of this name is registered."""
+    """No plug-in is registered under this name."""
 
 
 class InvariantError(PondquayError):
-    """A caller of the kernel broke a rule that the kernel relies on."""
+    """A caller of the kernel violated an invariant that the kernel relies on."""
--- a/packages/pondquay/src/pondquay/findings.py
+++ b/packages/pondquay/src/pondquay/findings.py
@@ -1,4 +1,4 @@
-"""Findings: what is wrong with an input, and where."""
+"""Collection of the problems found in an input."""
 
 from __future__ import annotations
 
@@ -14,24 +14,24 @@
 
 @dataclass(slots=True)
 class Findings:
-    """A collector, so that all findings of one input are reported together."""
+    """Collects all findings of an input, so that they are reported together."""
 
     found: list[Finding] = field(default_factory=list)
 
     def add(self, location: str, subject: str, message: str) -> None:
-        """Note one finding."""
+        """Add a finding."""
         self.found.append(Finding(location, subject, message))
 
     def raise_if_any(self) -> None:
-        """Report all findings at once.
+        """Raise one error that carries all findings.
 
-        :raises InvalidInputError: if anything was found
+        :raises InvalidInputError: if there are findings
         """
         if self.found:
             raise InvalidInputError(self.found)
 
 
 def suggest_name(name: str, known: Iterable[str]) -> str:
-    """Return a hint that names the nearest known name, or an empty text."""
+    """Return a hint with the most similar known name, or an empty string."""
     matches = get_close_matches(name, list(known), n=1)
     return f"; did you mean {matches[0]!r}?" if matches else ""
--- a/packages/pondquay/src/pondquay/ini.py
+++ b/packages/pondquay/src/pondquay/ini.py
@@ -1,4 +1,4 @@
-"""INI files with the line of every key, so that findings can name their place."""
+"""INI files with line numbers, so that findings can refer to them."""
 
 from __future__ import annotations
 
@@ -17,10 +17,11 @@
 
 @dataclass(frozen=True, slots=True)
 class IniSection:
-    """One section.
+    """A section of an INI file.
 
-    :param location: ``file:line`` of its heading
-    :param lines: the line of each key
+    :param source: name of the file
+    :param line: line number of the section's heading
+    :param lines: line number of each key
     """
 
     name: str
@@ -31,29 +32,32 @@
 
     @property
     def location(self) -> str:
-        """Where the section begins."""
+        """``file:line`` of the section's heading."""
         return f"{self.source}:{self.line}"
 
     def describe_location(self, key: str) -> str:
-        """Return where a key stands, or the section's place if it does not stand."""
+        """Return ``file:line`` of a key, or of the heading if the key is missing."""
         return f"{self.source}:{self.lines.get(key, self.line)}"
 
 
 @dataclass(frozen=True, slots=True)
 class IniDocument:
-    """The sections of one file, in order."""
+    """The sections of an INI file, in file order."""
 
     sections: tuple[IniSection, ...] = ()
 
     def find(self, name: str) -> IniSection | None:
-        """Return the section of this name."""
-        return next((one for one in self.sections if one.name == name), None)
+        """Return the section with this name, or ``None``."""
+        return next(
+            (section for section in self.sections if section.name == name), None
+        )
 
 
 def read_ini(text: str, source: str, findings: Findings) -> IniDocument:
-    """Read a file; what cannot be read at all is added to the findings.
+    """Parse an INI file; add a syntax error to the findings.
 
-    :param source: the file's name
+    :param source: name of the file
+    :returns: the document, empty if the syntax is invalid
     """
     parser = ConfigParser(interpolation=None, default_section="")
     try:
--- a/packages/pondquay/src/pondquay/membership/__init__.py
+++ b/packages/pondquay/src/pondquay/membership/__init__.py
@@ -1,3 +1,3 @@
-"""Membership: which instances and upstreams there are, from lagging sources."""
+"""Membership: peers, leases of fleet-wide tasks and drained upstreams."""
 
 from __future__ import annotations
--- a/packages/pondquay/src/pondquay/membership/drains.py
+++ b/packages/pondquay/src/pondquay/membership/drains.py
@@ -1,4 +1,4 @@
-"""Table programs by which all instances learn that an operator drains an upstream."""
+"""Table programs that store and read the upstreams that operators drain."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def read_drains() -> Program[list[str] | Unreachable]:
-    """Read the names of all upstreams that operators drain."""
+    """Read the names of all drained upstreams."""
     rows = yield from read_rows(prefixes=(DRAIN_PREFIX,))
     if isinstance(rows, Unreachable):
         return rows
@@ -31,7 +31,7 @@
 
 
 def store_drain(upstream: str) -> Program[bool]:
-    """Note that an upstream is drained; ``True`` only if that is known to be stored."""
+    """Store that an upstream is drained; return whether it is known to be stored."""
     key = f"{DRAIN_PREFIX}{upstream}"
     transaction = Transaction(
         key, (Condition(key, ABSENT),), (Write(key, {"upstream": upstream}),)
--- a/packages/pondquay/src/pondquay/membership/leases.py
+++ b/packages/pondquay/src/pondquay/membership/leases.py
@@ -1,8 +1,8 @@
-"""Leases: which instance does a piece of work that one must do for all.
+"""Leases that select the instance that performs a fleet-wide task.
 
-A lease keeps two instances from doing the same work at the same time most of the
-time. Nothing relies on it for safety: the work is done in transactions, or carries
-the lease's fence.
+A lease makes it unlikely, but not impossible, that two instances perform a task at the
+same time. Correctness does not depend on it: tasks use transactions or pass on the
+lease's fence.
 """
 
 from __future__ import annotations
@@ -31,10 +31,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseRow:
-    """A lease as its row stands.
+    """The stored state of a lease.
 
-    :param fence: counts up with each new holder
-    :param beat: counts up with each renewal
+    :param fence: incremented with each change of the holder
+    :param beat: incremented with each renewal
     """
 
     holder: str
@@ -51,17 +51,18 @@
 
 
 class Lease:
-    """One instance's view of a lease.
+    """An instance's view of a lease.
 
-    :param name: the work that the lease is for
-    :param holder: this instance, in this one of its lives
+    :param name: name of the task
+    :param holder: this incarnation of this instance
+    :ivar fence: fence of the lease if this instance holds it, otherwise ``None``
     """
 
     def __init__(self, name: str, holder: str) -> None:
         self._key = lease_key(name)
         self._holder = holder
-        self._seen = 0
-        self._seen_at = 0.0
+        self._observed_version = 0
+        self._observed_at = 0.0
         self.fence: int | None = None
 
     @property
@@ -70,23 +71,23 @@
         return self.fence is not None
 
     def renew(self, now: float) -> Program[None]:
-        """Renew the lease, or take it if its holder has not for a while.
+        """Renew the lease, or acquire it if it has expired.
 
-        What counts is how long the row stood still before our own eyes, so no two
-        clocks are ever compared.
+        A lease expires when this instance has observed no change of its row for
+        ``EXPIRY_SECONDS``; clocks of different instances are not compared.
         """
         rows = yield from read_rows(self._key)
         if isinstance(rows, Unreachable):
             self.fence = None
             return
         row = rows.rows.get(self._key)
-        standing = None if row is None else _LEASE.validate_python(row.value)
-        if not self._may_write(row, standing, now):
+        stored = None if row is None else _LEASE.validate_python(row.value)
+        if not self._may_write(row, stored, now):
             self.fence = None
             return
-        ours = standing is not None and standing.holder == self._holder
-        fence = 1 if standing is None else standing.fence + (0 if ours else 1)
-        beat = 1 if standing is None else standing.beat + 1
+        is_own = stored is not None and stored.holder == self._holder
+        fence = 1 if stored is None else stored.fence + (0 if is_own else 1)
+        beat = 1 if stored is None else stored.beat + 1
         value = _LEASE.dump_python(LeaseRow(self._holder, fence, beat), mode="json")
         reply = yield from commit_rows(
             Transaction(
@@ -97,13 +98,11 @@
         )
         self.fence = fence if isinstance(reply, Committed) else None
 
-    def _may_write(
-        self, row: Row | None, standing: LeaseRow | None, now: float
-    ) -> bool:
-        if row is None or standing is None or standing.holder == self._holder:
+    def _may_write(self, row: Row | None, stored: LeaseRow | None, now: float) -> bool:
+        if row is None or stored is None or stored.holder == self._holder:
             return True
-        if row.version != self._seen:
-            self._seen = row.version
-            self._seen_at = now
+        if row.version != self._observed_version:
+            self._observed_version = row.version
+            self._observed_at = now
             return False
-        return now - self._seen_at >= EXPIRY_SECONDS
+        return now - self._observed_at >= EXPIRY_SECONDS
--- a/packages/pondquay/src/pondquay/membership/messages.py
+++ b/packages/pondquay/src/pondquay/membership/messages.py
@@ -1,4 +1,4 @@
-"""What instances tell each other of themselves."""
+"""Messages about instances, requests and configuration versions between peers."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """An instance's word of itself.
+    """The state of an instance, sent to its peers at regular intervals.
 
-    :param version: the version of the configuration it has in force
-    :param leaving: whether it is about to stop
-    :param leaving_upstreams: upstreams that it knows to be leaving
+    :param version: version of the configuration that the instance uses
+    :param leaving: whether the instance is shutting down
+    :param leaving_upstreams: upstreams known to be shutting down
     """
 
     instance: InstanceId
@@ -27,7 +27,10 @@
 
 @dataclass(frozen=True, slots=True)
 class FindRequest:
-    """A question to a peer: whether it knows of a running attempt of a request."""
+    """Asks a peer for a running attempt of a request.
+
+    :param number: identifies the response
+    """
 
     number: int
     request: RequestName
@@ -36,7 +39,13 @@
 
 @dataclass(frozen=True, slots=True)
 class FoundRequest:
-    """The answer: the newest attempt whose end is not known here, if any."""
+    """The response to ``FindRequest``.
+
+    :param number: number of the ``FindRequest``
+    :param attempt: the latest attempt that is not known to have ended, if any
+    :param reserve: tokens reserved for the attempt
+    :param holder_alive: whether the holder of the attempt's grant is reachable
+    """
 
     number: int
     attempt: AttemptId | None = None
@@ -49,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FetchDeltas:
-    """A question to a peer for versions of the configuration after a base."""
+    """Asks a peer for the configuration versions after a base version."""
 
     base: int
     kind: Literal["fetch-deltas"] = "fetch-deltas"
@@ -57,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Deltas:
-    """Versions of the configuration, as JSON texts, in order."""
+    """Configuration versions as JSON texts, in ascending order."""
 
     texts: tuple[str, ...]
     kind: Literal["deltas"] = "deltas"
--- a/packages/pondquay/src/pondquay/membership/peers.py
+++ b/packages/pondquay/src/pondquay/membership/peers.py
@@ -1,7 +1,8 @@
-"""What an instance knows of its peers.
+"""The state of an instance's peers.
 
-Suspicion comes from silence and is only ever used for what is safe when it is wrong:
-sealing grants, choosing another witness, asking elsewhere.
+A peer that sends nothing for ``SUSPECT_AFTER_SECONDS`` is suspected to be down. The
+suspicion may be wrong, so it is used only where an error is safe: to seal grants, to
+choose another witness and to ask another peer.
 """
 
 from __future__ import annotations
@@ -18,10 +19,12 @@
 
 @dataclass(slots=True)
 class Peer:
-    """A peer as last heard of.
+    """The last known state of a peer.
 
-    :param last_seen_at: when it was heard last, in seconds
-    :param connected: whether a link to it stands
+    :param version: highest configuration version that the peer has reported
+    :param leaving: whether the peer is shutting down
+    :param last_seen_at: time of the last heartbeat, in seconds
+    :param connected: whether a link to the peer is open
     """
 
     instance: InstanceId
@@ -33,9 +36,9 @@
 
 
 class Peers:
-    """All peers that were ever heard of and not yet given up.
+    """All known peers, by instance.
 
-    :param domain: the own failure domain
+    :param domain: failure domain of this instance
     """
 
     def __init__(self, domain: str) -> None:
@@ -43,7 +46,7 @@
         self.known: dict[InstanceId, Peer] = {}
 
     def receive(self, heartbeat: Heartbeat, now: float) -> None:
-        """Take in a heartbeat; a new boot under a known name replaces the old one."""
+        """Update a peer from its heartbeat, or add it."""
         peer = self.known.get(heartbeat.instance)
         if peer is None:
             peer = Peer(heartbeat.instance, heartbeat.domain, 0, False, now)
@@ -54,20 +57,20 @@
         peer.connected = True
 
     def note_disconnected(self, instance: InstanceId) -> None:
-        """Note that the link to a peer broke."""
+        """Record that the link to a peer was closed."""
         peer = self.known.get(instance)
         if peer is not None:
             peer.connected = False
 
     def is_usable(self, instance: InstanceId, now: float) -> bool:
-        """Tell whether a peer can be expected to answer."""
+        """Return whether a peer is connected and not suspected to be down."""
         peer = self.known.get(instance)
         if peer is None or not peer.connected:
             return False
         return now - peer.last_seen_at < SUSPECT_AFTER_SECONDS
 
     def suspects(self, now: float) -> list[InstanceId]:
-        """Return the peers that have been silent for too long."""
+        """Return the peers that are suspected to be down."""
         return [
             instance
             for instance, peer in self.known.items()
@@ -75,11 +78,11 @@
         ]
 
     def forget(self, instance: InstanceId) -> None:
-        """Give a peer up for good."""
+        """Remove a peer."""
         self.known.pop(instance, None)
 
     def witnesses(self, now: float) -> list[InstanceId]:
-        """Return peers of the own domain that can be asked to witness a grant."""
+        """Return the usable peers of this domain, which can witness a grant."""
         return sorted(
             instance
             for instance, peer in self.known.items()
@@ -89,5 +92,5 @@
         )
 
     def newest_version(self) -> int:
-        """Return the highest version of the configuration heard of."""
+        """Return the highest configuration version that a peer has reported."""
         return max((peer.version for peer in self.known.values()), default=0)
--- a/packages/pondquay/src/pondquay/names.py
+++ b/packages/pondquay/src/pondquay/names.py
@@ -1,4 +1,4 @@
-"""Names of the things that instances tell each other about."""
+"""Identifiers that instances use in messages and table rows."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class InstanceId:
-    """An entry instance in one of its lives.
+    """One incarnation of an entry instance, from its start to its end.
 
     :param name: the instance's name from its settings
-    :param boot: a random name made at each start; a new boot knows nothing of the last
+    :param boot: a random identifier, generated at each start
     """
 
     name: str
@@ -25,14 +25,14 @@
 
     @classmethod
     def parse(cls, text: str) -> InstanceId:
-        """Read the form that ``str`` writes."""
+        """Parse the form that ``str()`` returns."""
         name, _, boot = text.rpartition(BOOT_SEPARATOR)
         return cls(name, boot)
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class GrantId:
-    """A grant of tokens, named by its holder and a number the holder counts up."""
+    """A grant of tokens, identified by its holder and the holder's grant counter."""
 
     holder: InstanceId
     number: int
@@ -42,14 +42,14 @@
 
     @classmethod
     def parse(cls, text: str) -> GrantId:
-        """Read the form that ``str`` writes."""
+        """Parse the form that ``str()`` returns."""
         holder, _, number = text.rpartition(SEPARATOR)
         return cls(InstanceId.parse(holder), int(number))
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class AttemptId:
-    """One attempt to run a request: a place in the sequence of one grant."""
+    """An attempt to run a request, identified by a sequence number within a grant."""
 
     grant: GrantId
     seq: int
@@ -59,14 +59,14 @@
 
     @classmethod
     def parse(cls, text: str) -> AttemptId:
-        """Read the form that ``str`` writes."""
+        """Parse the form that ``str()`` returns."""
         grant, _, seq = text.rpartition(SEPARATOR)
         return cls(GrantId.parse(grant), int(seq))
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class RequestName:
-    """What names a request for good: its workspace and the caller's key."""
+    """A request, identified across retries by its workspace and the caller's key."""
 
     workspace: str
     key: str
@@ -76,15 +76,15 @@
 
     @classmethod
     def parse(cls, text: str) -> RequestName:
-        """Read the form that ``str`` writes."""
+        """Parse the form that ``str()`` returns."""
         workspace, _, key = text.partition(SEPARATOR)
         return cls(workspace, key)
 
 
 def name_stream(request: RequestName, attempt: AttemptId) -> str:
-    """Return the name of the stream that one attempt runs at an upstream.
+    """Return the name of the stream that an attempt runs on an upstream.
 
-    Attempts are unique across the fleet, so no two streams share a name.
+    Attempt identifiers are unique across the fleet, and so are stream names.
     """
     digest = blake2b(f"{request}|{attempt}".encode(), digest_size=16)
     return digest.hexdigest()
--- a/packages/pondquay/src/pondquay/policy.py
+++ b/packages/pondquay/src/pondquay/policy.py
@@ -1,7 +1,6 @@
-"""Which mechanisms a relay decides with, and the figures that they go by.
+"""Settings that switch the mechanisms of a relay on and off and parametrise them.
 
-Each can be switched off or set by itself, so that an experiment can tell what it is
-worth. Deployments run with the defaults.
+Deployments run with the defaults; experiments change single settings.
 """
 
 from __future__ import annotations
@@ -11,43 +10,49 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayPolicy:
-    """The mechanisms of one relay.
+    """The policy settings of a relay; their names are also keys of its INI file.
 
-    :param share_loads: tell peers what waits at an upstream, so that the prompts of
-        all instances do not queue up at the same one
-    :param borrow: ask peers for tokens that the table does not give in time
-    :param return_surplus: give back what is held far above the target
-    :param last_part: part of the prepaid tokens that is kept for small requests: after
-        a loss of all instances it answers many callers where few large requests would
-        take the rest
-    :param most_holders: instances up to which all hold tokens of every workspace;
-        beyond it a row would have more writers than the store takes
-    :param cover_seconds: seconds of the demand of all that they keep ahead; it covers
-        short outages of the table and the time in which demand is noticed
-    :param most_of_left: part of what a workspace has left that they keep ahead at most:
-        a loss of all instances loses it, and what is missing in an outage for its sake
-        is served after it
-    :param ahead_seconds: seconds of its own demand that an instance without tokens of
-        its own borrows ahead, so that its requests do not wait for a lender one after
-        the other; a loss of all instances loses what they hold
-    :param borrowed_of_left: part of what a workspace has left that such an instance
-        holds at most without need where its part of what all keep fits no request, so
-        that a nearly used budget does not lie about in remnants
-    :param return_part: part of its largest request from which such an instance hands
-        back what it does not need
-    :param come_back_seconds: after which a caller that was refused for want of tokens
-        should try again; another instance may have some
-    :param circuits: leave out upstreams that failed several times in a row
-    :param leave_dark: take a failure domain for dark in which two upstreams in a row
-        could not be connected to, and try another domain after each such failure
-    :param leave_silent: try elsewhere what an upstream says nothing to
-    :param urgency: tell upstreams which requests are urgent
-    :param crowded_part: part of an upstream's places that one instance takes in its
-        own domain before it looks further
-    :param spare_streams: keep long prompts from upstreams whose streams they break
-    :param refuse_crashing: refuse a request under which three upstreams crashed; one
-        that comes again and again would take all of them away from everyone
-    :param copy_parts: let an upstream copy shared parts that another has read
+    Tokens that an instance holds without reserving them for a request are headroom. An
+    instance without an allotment holds only tokens borrowed from its peers.
+
+    :param share_loads: announce to peers the prompts that an upstream has yet to
+        process, so that instances do not all queue prompts at the same upstream
+    :param borrow: borrow tokens from peers when the table does not grant them in time
+    :param return_surplus: return headroom that is well above its target
+    :param last_part: fraction of the prepaid tokens reserved for small requests; it
+        serves many callers when a loss of all instances leaves few tokens
+    :param most_holders: maximum number of instances of a fleet in which every instance
+        has an allotment of every workspace; in larger fleets only a few instances per
+        failure domain have one, which limits the concurrent writers of a row
+    :param cover_seconds: seconds of the fleet's demand that all instances together hold
+        as headroom; it bridges short outages of the table
+    :param most_of_left: maximum fraction of a workspace's remaining tokens that all
+        instances together hold as headroom; it bounds what is unavailable after a loss
+        of all instances
+    :param ahead_seconds: seconds of its own demand that an instance without an
+        allotment borrows in advance, so that requests need not wait for a lender
+    :param borrowed_of_left: fraction of a workspace's remaining tokens that an instance
+        without an allotment may hold as headroom if its share of the fleet's headroom
+        is smaller than this fraction or than its largest request
+    :param return_part: fraction of its largest request; an instance without an
+        allotment returns a surplus above it to a lender
+    :param come_back_seconds: seconds that a caller is asked to wait before retrying
+        when this instance has no tokens for its request but a peer may have some
+    :param circuits: exclude upstreams that failed several times in a row
+    :param leave_dark: treat a failure domain as unreachable after connections to two of
+        its upstreams failed in a row, and retry a request in another domain after each
+        failed connection
+    :param leave_silent: retry a repeatable request at another upstream if its upstream
+        does not respond in time
+    :param urgency: send the urgency of each request to its upstream
+    :param crowded_part: fraction of an upstream's slots that this instance uses in its
+        own failure domain before it considers upstreams of other domains
+    :param spare_streams: send no long prompts to upstreams whose running streams they
+        interrupt, as long as there are other upstreams
+    :param refuse_crashing: refuse a request after three upstreams crashed while running
+        it, so that its retries do not crash further upstreams
+    :param copy_parts: let an upstream copy the cached state of shared prompt parts from
+        another upstream
     """
 
     share_loads: bool = True
--- a/packages/pondquay/src/pondquay/registry.py
+++ b/packages/pondquay/src/pondquay/registry.py
@@ -1,4 +1,4 @@
-"""The registry through which plug-ins announce themselves to the kernel."""
+"""Registry of plug-ins."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 class Registry(Generic[T]):
     """Named factories of one kind of plug-in.
 
-    :param kind: what the plug-ins are, for error messages
+    :param kind: the kind of plug-in, used in error messages
     """
 
     def __init__(self, kind: str) -> None:
@@ -33,13 +33,13 @@
         return add
 
     def names(self) -> list[str]:
-        """Return the registered names in order."""
+        """Return the registered names in alphabetical order."""
         return sorted(self._factories)
 
     def create(self, name: str) -> T:
-        """Build the plug-in of this name.
+        """Create the plug-in registered under a name.
 
-        :raises UnknownPluginError: if there is none
+        :raises UnknownPluginError: if no plug-in has this name
         """
         factory = self._factories.get(name)
         if factory is None:
--- a/packages/pondquay/src/pondquay/requests/__init__.py
+++ b/packages/pondquay/src/pondquay/requests/__init__.py
@@ -1,3 +1,3 @@
-"""Requests: their life from arrival to outcome, and what they can cost."""
+"""Requests: their lifecycle, identity and maximum cost."""
 
 from __future__ import annotations
--- a/packages/pondquay/src/pondquay/requests/bounds.py
+++ b/packages/pondquay/src/pondquay/requests/bounds.py
@@ -1,4 +1,4 @@
-"""Upper bounds of what a request can cost, in tokens."""
+"""Upper bounds of the tokens that a request costs."""
 
 from __future__ import annotations
 
@@ -11,10 +11,11 @@
 
 
 def bound_prompt_tokens(contents: Iterable[str]) -> int:
-    """Return the most tokens that a prompt can have.
+    """Return an upper bound of the tokens of a prompt.
 
-    A token is at least one byte of the text; what frames a message costs a few more.
+    A token represents at least one byte of text; each message adds a few tokens that
+    delimit it.
 
-    :param contents: the texts of the messages
+    :param contents: the texts of the prompt's messages
     """
-    return sum(len(one.encode()) + TOKENS_PER_MESSAGE for one in contents)
+    return sum(len(text.encode()) + TOKENS_PER_MESSAGE for text in contents)
--- a/packages/pondquay/src/pondquay/requests/lifecycle.py
+++ b/packages/pondquay/src/pondquay/requests/lifecycle.py
@@ -1,7 +1,7 @@
-"""The life of one request, which decides what its caller may be told.
+"""The lifecycle of a request, which determines the outcome reported to its caller.
 
-The machine has no way to dispatch a request a second time that is not repeatable and
-may have run, and no way to call one "not run" that may have run.
+The state machine prevents a second dispatch of a request that is not repeatable and may
+have run, and never reports a request that may have run as not run.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class Outcome(StrEnum):
-    """What is known of a request."""
+    """Whether a request ran, as far as is known."""
 
     DONE = "done"
     NOT_RUN = "not-run"
@@ -22,27 +22,27 @@
 
 
 class RequestLifecycle(Protocol):
-    """What can happen to a request."""
+    """The events of a request and its outcome."""
 
     def dispatch(self) -> None:
-        """Be about to write it to an upstream."""
+        """Record that the request is about to be sent to an upstream."""
 
     def mark_not_run(self) -> None:
-        """Learn that this attempt certainly did not run."""
+        """Record that the current attempt certainly did not run."""
 
     def mark_unknown(self) -> None:
-        """Lose sight of an attempt that may have run."""
+        """Record that the current attempt may have run."""
 
     def finish(self) -> None:
-        """Have its whole answer."""
+        """Record that the complete response was received."""
 
     def outcome(self) -> Outcome:
-        """Tell what is known of it."""
+        """Return the outcome as far as it is known."""
 
 
 @dataclass(slots=True)
 class _Core:
-    """The machine keeps all its state in its states."""
+    """The data of the state machine, which needs none besides its state."""
 
 
 def _build(*, repeatable: bool) -> TypeMachineBuilder[RequestLifecycle, _Core]:
@@ -71,14 +71,14 @@
 
 
 _BUILD_REPEATABLE = _build(repeatable=True).build()
-_BUILD_ONCE = _build(repeatable=False).build()
+_BUILD_UNREPEATABLE = _build(repeatable=False).build()
 
 
 def create_lifecycle(*, repeatable: bool) -> RequestLifecycle:
-    """Return the life of a new request.
+    """Return the lifecycle of a new request.
 
-    :param repeatable: whether it may be dispatched again after an attempt that may
-        have run
+    :param repeatable: whether the request may be dispatched again after an attempt
+        that may have run
     """
-    build = _BUILD_REPEATABLE if repeatable else _BUILD_ONCE
+    build = _BUILD_REPEATABLE if repeatable else _BUILD_UNREPEATABLE
     return build(_Core())
--- a/packages/pondquay/src/pondquay/routes/__init__.py
+++ b/packages/pondquay/src/pondquay/routes/__init__.py
@@ -1,3 +1,3 @@
-"""Routes: which service a request is for, and how it may be treated."""
+"""Routes: the service and the handling of a request by host and path."""
 
 from __future__ import annotations
--- a/packages/pondquay/src/pondquay/routes/entities.py
+++ b/packages/pondquay/src/pondquay/routes/entities.py
@@ -1,4 +1,4 @@
-"""What an operator's routing configuration is made of."""
+"""The entities of an operator's routing configuration."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class RequestKind(StrEnum):
-    """How often a request may run, and how its answer comes."""
+    """Whether a request may run again, and whether its response is a stream."""
 
     REPEATABLE = "repeatable"
     ONCE = "once"
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WeightedService:
-    """One of the services that share a route's requests."""
+    """A service of a route, with its weight in the split of the route's requests."""
 
     service: str
     weight: float
@@ -24,16 +24,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """How requests of one host and path prefix are treated.
+    """How requests to a host and path prefix are handled.
 
-    :param timeout: seconds after which a request gets its final answer
-    :param objective: seconds within which an answer is worth most
+    :param timeout: seconds within which a request gets its final response
+    :param objective: target for the response time, in seconds
     :param priority: 0 is the most urgent
-    :param attempts: the most upstreams that one request may be sent to
-    :param public: whether requests need no key
-    :param resumable: whether a broken stream may go on at another upstream
-    :param pause: the longest pause between two events, in seconds, at which a stream
-        is still worth most; ``None`` for no bound
+    :param attempts: maximum number of upstreams that a request is sent to
+    :param public: whether requests require no key
+    :param resumable: whether a broken stream may be resumed at another upstream
+    :param pause: target for the longest pause between two events of a stream, in
+        seconds; ``None`` without a target
     """
 
     name: str
@@ -51,12 +51,12 @@
 
     @property
     def streaming(self) -> bool:
-        """Whether answers are streams of events."""
+        """Whether responses are event streams."""
         return self.kind is RequestKind.STREAMING
 
     @property
     def repeatable(self) -> bool:
-        """Whether a request that may have run may be sent once more."""
+        """Whether a request that may have run may be sent again."""
         return self.kind is RequestKind.REPEATABLE or (
             self.streaming and self.resumable
         )
@@ -64,14 +64,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """Upstreams that are alike.
-
-    :param most_connections: what one upstream accepts from all instances together
-    :param event_tokens: the most tokens in one event of a stream
-    :param shares_prompts: whether an upstream can copy what another has read
-    :param cold_seconds: for which an upstream bears little after it has started
-    :param cold_rate: requests a second that it bears then from all instances together,
-        0 for no bound
+    """A service that is provided by interchangeable upstreams.
+
+    :param most_connections: maximum number of connections that an upstream accepts
+        from all instances together
+    :param event_tokens: maximum number of tokens in an event of a stream; 0 if
+        responses cost no tokens
+    :param shares_prompts: whether an upstream can copy a cached prompt from another
+    :param cold_seconds: seconds after its start during which an upstream is limited to
+        ``cold_rate``
+    :param cold_rate: requests per second that an upstream accepts during this time from
+        all instances together, 0 for no limit
     """
 
     name: str
@@ -84,15 +87,16 @@
 
     @property
     def counts_tokens(self) -> bool:
-        """Whether its answers cost tokens."""
+        """Whether responses of the service cost tokens."""
         return self.event_tokens > 0
 
 
 @dataclass(frozen=True, slots=True)
 class RoutedWorkspace:
-    """A customer of the routes, with its keys and its prepaid tokens.
+    """A workspace with its keys and its prepaid tokens.
 
-    :param prepaid: tokens that it may use in all, ``None`` for no bound
+    :param priority: priority of its requests, 0 is the most urgent
+    :param prepaid: total tokens that it may use, ``None`` for no limit
     """
 
     name: str
@@ -103,10 +107,12 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """Bounds of what a caller may send.
+    """Limits on callers' requests and connections.
 
-    :param header_timeout: seconds that the head of a request may take
-    :param idle_timeout: seconds that a connection may rest
+    :param header_bytes: maximum size of a request's head
+    :param body_bytes: maximum size of a request's body
+    :param header_timeout: seconds within which the head of a request must arrive
+    :param idle_timeout: seconds after which an idle connection is closed
     """
 
     header_bytes: int = 16384
@@ -117,7 +123,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutingConfiguration:
-    """A configuration as a whole, in one version."""
+    """A version of the routing configuration."""
 
     version: int
     routes: tuple[Route, ...]
--- a/packages/pondquay/src/pondquay/routes/table.py
+++ b/packages/pondquay/src/pondquay/routes/table.py
@@ -1,4 +1,4 @@
-"""The look-up of routes, keys and services in one version of the configuration."""
+"""Lookup of routes, keys and services in a version of the configuration."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class RouteTable:
-    """An index of one configuration; it is never changed, only replaced."""
+    """An immutable index of a version of the configuration."""
 
     def __init__(self, configuration: RoutingConfiguration) -> None:
         self.configuration = configuration
@@ -24,9 +24,15 @@
         for route in configuration.routes:
             by_prefix = self._routes.setdefault(route.host.lower(), {})
             by_prefix[route.path_prefix] = route
-        self._services = {one.name: one for one in configuration.services}
-        self._workspaces = {one.name: one for one in configuration.workspaces}
-        self._keys = {key: one for one in configuration.workspaces for key in one.keys}
+        self._services = {service.name: service for service in configuration.services}
+        self._workspaces = {
+            workspace.name: workspace for workspace in configuration.workspaces
+        }
+        self._keys = {
+            key: workspace
+            for workspace in configuration.workspaces
+            for key in workspace.keys
+        }
 
     @property
     def version(self) -> int:
@@ -35,14 +41,14 @@
 
     @property
     def needs_keys(self) -> bool:
-        """Whether requests carry keys."""
+        """Whether callers authenticate with keys."""
         return bool(self.configuration.workspaces)
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix that begins the path.
+        """Return the route with the longest prefix of the path.
 
-        :param host: as the caller named it, a port and the case do not matter
-        :param path: without the query
+        :param host: the host as the caller sent it; port and case are ignored
+        :param path: the path without the query
         """
         by_prefix = self._routes.get(host.partition(":")[0].lower())
         if by_prefix is None:
@@ -56,21 +62,21 @@
         return None
 
     def find_workspace(self, key: str) -> RoutedWorkspace | None:
-        """Return the holder of a key."""
+        """Return the workspace that a key belongs to."""
         return self._keys.get(key)
 
     def workspace(self, name: str) -> RoutedWorkspace | None:
-        """Return a workspace by its name."""
+        """Return the workspace with this name."""
         return self._workspaces.get(name)
 
     def service(self, name: str) -> Service | None:
-        """Return a service by its name."""
+        """Return the service with this name."""
         return self._services.get(name)
 
 
 def choose_service(route: Route, random: Random) -> str:
-    """Return the service of a request, by the weights of the route's split."""
+    """Choose the service for a request at random, by the weights of the route."""
     if len(route.services) == 1:
         return route.services[0].service
-    weights = [one.weight for one in route.services]
+    weights = [service.weight for service in route.services]
     return random.choices(route.services, weights)[0].service
--- a/packages/pondquay/src/pondquay/streamevents.py
+++ b/packages/pondquay/src/pondquay/streamevents.py
@@ -1,4 +1,4 @@
-"""Whole events of an event stream, in order."""
+"""Splitting of an event stream into complete events, with a check of their order."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 class StreamOrderError(Exception):
-    """A stream does not go on where it should."""
+    """An event of a stream is missing, repeated or without an end."""
 
 
 def read_event_id(event: bytes) -> int | None:
-    """Return the number of an event, ``None`` if it bears none."""
+    """Return the number in an event's ``id`` field, or ``None`` without a number."""
     for line in event.split(b"\n"):
         if line.startswith(ID_FIELD):
             text = line[len(ID_FIELD) :].strip()
@@ -24,9 +24,10 @@
 
 @dataclass(slots=True)
 class EventReader:
-    """Cuts the bytes of a stream into events and checks that none is missing.
+    """Splits a byte stream into events and checks that no event is missing.
 
-    :param last: number of the last event that was passed on
+    :param last: number of the last event returned
+    :param count: numbered events returned by this reader
     """
 
     last: int = 0
@@ -35,29 +36,30 @@
 
     @property
     def partial(self) -> bool:
-        """Whether bytes of an event that is not whole have come."""
+        """Whether the buffer holds an incomplete event."""
         return bool(self._pending)
 
     def feed(self, data: bytes) -> bytes:
-        """Return the whole events that have come, without a partial one at the end.
+        """Return the events that the data completes; buffer an incomplete event.
 
-        :raises StreamOrderError: if an event is missing, repeated or of another stream
+        :raises StreamOrderError: if an event is missing or repeated, or if an
+            incomplete event exceeds ``MAX_PENDING_BYTES``
         """
         pending = self._pending + data
         end = pending.rfind(EVENT_END)
         if end < 0:
             if len(pending) > MAX_PENDING_BYTES:
-                raise StreamOrderError("an event without an end")
+                raise StreamOrderError("an incomplete event exceeds the buffer limit")
             self._pending = pending
             return b""
-        whole = pending[: end + len(EVENT_END)]
+        complete = pending[: end + len(EVENT_END)]
         self._pending = pending[end + len(EVENT_END) :]
-        for event in whole.split(EVENT_END)[:-1]:
+        for event in complete.split(EVENT_END)[:-1]:
             self._check(event)
-        return whole
+        return complete
 
     def discard_partial(self) -> None:
-        """Forget a partial event, since its stream has broken."""
+        """Discard an incomplete event after its stream has broken."""
         self._pending = b""
 
     def _check(self, event: bytes) -> None:
@@ -65,6 +67,6 @@
         if number is None:
             return
         if number != self.last + 1:
-            raise StreamOrderError(f"event {number} after {self.last}")
+            raise StreamOrderError(f"event {number} follows event {self.last}")
         self.last = number
         self.count += 1
--- a/packages/pondquay/src/pondquay/streams.py
+++ b/packages/pondquay/src/pondquay/streams.py
@@ -1,4 +1,4 @@
-"""Frames of an answer: what belongs to it, and whether it is whole."""
+"""Assembly of a streamed response from its frames."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Frame:
-    """A piece of an answer.
+    """A frame of a streamed response.
 
-    :param stream: the stream's name as the upstream echoed it
-    :param offset: how many pieces came before
-    :param finish: why the answer ends here, empty if it does not
+    :param stream: name of the stream, as the upstream returned it
+    :param offset: number of frames before this one
+    :param finish: reason why the response ends here, empty if it continues
     """
 
     stream: str
@@ -24,7 +24,7 @@
 
 
 class Verdict(StrEnum):
-    """What is to be done with a frame."""
+    """Whether a frame is passed on, or why it is dropped."""
 
     PASS_ON = "pass-on"
     FOREIGN = "foreign"
@@ -35,9 +35,12 @@
 
 @dataclass(slots=True)
 class Response:
-    """One answer as it comes in; frames of others, repeats and gaps are dropped.
+    """A response that is being received.
 
-    :param stream: the only stream whose frames belong to it
+    Frames of other streams, repeated frames and frames after a gap are dropped.
+
+    :param stream: name of the stream whose frames form the response
+    :param dropped: number of dropped frames by verdict
     """
 
     stream: str
@@ -46,29 +49,29 @@
 
     @property
     def next_offset(self) -> int:
-        """The offset of the piece that must come next."""
+        """The offset of the next expected frame."""
         return len(self.frames)
 
     @property
     def complete(self) -> bool:
-        """Whether the end has come, with every piece before it."""
+        """Whether all frames including the last one have been received."""
         return bool(self.frames) and bool(self.frames[-1].finish)
 
     @property
     def text(self) -> str:
-        """The answer so far."""
+        """The text received so far."""
         return "".join(frame.text for frame in self.frames)
 
     def add_frame(self, frame: Frame) -> Verdict:
-        """Take in a frame and say whether it may be passed on."""
-        verdict = self._judge(frame)
+        """Append the next expected frame or drop the frame; return the verdict."""
+        verdict = self._classify(frame)
         if verdict is Verdict.PASS_ON:
             self.frames.append(frame)
         else:
             self.dropped[verdict] = self.dropped.get(verdict, 0) + 1
         return verdict
 
-    def _judge(self, frame: Frame) -> Verdict:
+    def _classify(self, frame: Frame) -> Verdict:
         if frame.stream != self.stream:
             return Verdict.FOREIGN
         if frame.offset < self.next_offset:
--- a/packages/pondquay/src/pondquay/tables.py
+++ b/packages/pondquay/src/pondquay/tables.py
@@ -1,8 +1,8 @@
-"""Calls to the platform's table service, and programs made of them.
+"""Calls to the platform's table service, and programs composed of them.
 
-A program is a generator: it yields one call after another, is sent the reply to
-each, and returns its result. It has no socket and no clock, so a test can stop it,
-delay it or lose any reply between any two of its steps.
+A program is a generator: it yields calls, receives the reply to each through
+``send()``, and returns its result. It does no I/O and reads no clock, so a test can
+stop or delay it at any step or drop any reply.
 """
 
 from __future__ import annotations
@@ -17,9 +17,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """A row as it was read.
+    """A row that was read from a table.
 
-    :param version: counts up with each write of the key, from 1
+    :param version: incremented by each write of the key, starting at 1
     """
 
     key: str
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Condition:
-    """The version that a row must have, ``ABSENT`` if it must not exist."""
+    """The version that a row must have, or ``ABSENT`` if it must not exist."""
 
     key: str
     version: int
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Write:
-    """A new value for a row, ``None`` to delete it."""
+    """A new value for a row, or ``None`` to delete it."""
 
     key: str
     value: JsonObject | None
@@ -45,9 +45,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Transaction:
-    """Writes that happen together if all conditions hold.
+    """Writes that are applied atomically if all conditions hold.
 
-    :param name: names the operation in the platform's own log
+    :param name: name of the operation in the platform's log
     """
 
     name: str
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Read:
-    """A read of single rows and of all rows whose keys start with a prefix."""
+    """A read of individual rows and of all rows whose keys start with a prefix."""
 
     keys: tuple[str, ...] = ()
     prefixes: tuple[str, ...] = ()
@@ -65,17 +65,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Rows:
-    """The reply to a read; a key that is missing has no row."""
+    """The rows found by a read, by key."""
 
     rows: Mapping[str, Row] = field(default_factory=dict)
 
     def version(self, key: str) -> int:
-        """Return the version of a key, ``ABSENT`` if it has no row."""
+        """Return the version of a row, or ``ABSENT`` if it does not exist."""
         row = self.rows.get(key)
         return ABSENT if row is None else row.version
 
     def list_with_prefix(self, prefix: str) -> list[Row]:
-        """Return the rows below a prefix, in the order of their keys."""
+        """Return the rows whose keys start with a prefix, sorted by key."""
         keys = sorted(key for key in self.rows if key.startswith(prefix))
         return [self.rows[key] for key in keys]
 
@@ -84,7 +84,8 @@
 class Committed:
     """The transaction took effect.
 
-    :param version: of the rows that it wrote, where the table tells it
+    :param version: version of the written rows, ``ABSENT`` if the table does not
+        report it
     """
 
     version: int = ABSENT
@@ -92,9 +93,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Conflict:
-    """A condition did not hold; nothing took effect.
+    """A condition did not hold, and nothing was written.
 
-    :param rows: the rows of the conditions as they stand, where the table tells them
+    :param rows: the current rows of the conditions, if the table reports them
     """
 
     rows: Rows = field(default_factory=Rows)
@@ -102,12 +103,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Unreachable:
-    """The call was certainly not carried out."""
+    """The call certainly had no effect."""
 
 
 @dataclass(frozen=True, slots=True)
 class OutcomeUnknown:
-    """No answer: the transaction may have taken effect, or may still do so."""
+    """No reply arrived: the transaction may have taken effect or may still do so."""
 
 
 TableCall: TypeAlias = Read | Transaction
@@ -120,7 +121,7 @@
 def read_rows(
     *keys: str, prefixes: tuple[str, ...] = ()
 ) -> Program[Rows | Unreachable]:
-    """Read rows; an answer that does not come counts as unreachable."""
+    """Read rows; treat a missing reply as an unreachable table."""
     reply = yield Read(keys, prefixes)
     return reply if isinstance(reply, Rows) else Unreachable()
 
@@ -128,21 +129,23 @@
 def commit_rows(
     transaction: Transaction,
 ) -> Program[Committed | Conflict | Unreachable | OutcomeUnknown]:
-    """Carry out a transaction, sending it once more if its answer is lost.
+    """Commit a transaction; retry it once if no reply arrives.
 
-    The conditions of the transactions of this package never hold twice, so the
-    second sending does no harm; it turns many a lost answer into a known one. After
-    a lost answer a conflict says only that the outcome has to be read.
+    The retry is safe, because the conditions of a transaction of this package do not
+    hold any more once it has taken effect. A conflict on the retry leaves the outcome
+    unknown: the first attempt may have caused it.
     """
     reply = yield transaction
     if not isinstance(reply, OutcomeUnknown):
-        return _narrow(reply)
-    again = yield transaction
-    if isinstance(again, Committed):
-        return again
+        return _as_commit_reply(reply)
+    retried = yield transaction
+    if isinstance(retried, Committed):
+        return retried
     return OutcomeUnknown()
 
 
-def _narrow(reply: TableReply) -> Committed | Conflict | Unreachable | OutcomeUnknown:
-    """Refuse the one reply that answers no transaction."""
+def _as_commit_reply(
+    reply: TableReply,
+) -> Committed | Conflict | Unreachable | OutcomeUnknown:
+    """Treat rows, which are no reply to a transaction, as an unknown outcome."""
     return OutcomeUnknown() if isinstance(reply, Rows) else reply
