--- a/packages/pondquay-daemon/src/pondquay_daemon/completionruns.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/completionruns.py
@@ -4,8 +4,8 @@
 
 from typing import TYPE_CHECKING, Any
 
-from pondquay.routing.admission import ORDER
-from pondquay.routing.policies import Work
+from pondquay.routing.admission import PRIORITY_ORDER
+from pondquay.routing.policies import RequestProfile
 from pondquay.routing.upstreams import ENGINE
 from pondquay.streams import Frame, Response, Verdict
 from pondquay_daemon.calls import CachedResponse, Delivered, Refusal
@@ -58,8 +58,8 @@
     ) -> Delivered | Refusal:
         """Run a completion to its end."""
         while True:
-            rank = ORDER.index(call.priority)
-            work = Work(call.reserve, call.prefix, rank)
+            rank = PRIORITY_ORDER.index(call.priority)
+            work = RequestProfile(call.reserve, call.prefix, rank)
             wish = Wish(
                 call.request,
                 ENGINE,
--- a/packages/pondquay-daemon/src/pondquay_daemon/peers.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/peers.py
@@ -139,7 +139,7 @@
             return False
         return self.table.is_usable(peer, self.now())
 
-    def is_gone(self, peer: InstanceId) -> bool:
+    def is_presumed_dead(self, peer: InstanceId) -> bool:
         """Tell whether a peer has been silent for so long that others replace it."""
         known = self.table.known.get(peer)
         return known is None or peer in self.table.suspects(self.now())
--- a/packages/pondquay-daemon/src/pondquay_daemon/recovery.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/recovery.py
@@ -34,7 +34,7 @@
 
 if TYPE_CHECKING:
     from pondquay.budgets.holdings import Attempt
-    from pondquay.budgets.programs import StandingGrant
+    from pondquay.budgets.programs import StoredGrant
     from pondquay.budgets.witness import Witness, WitnessedGrant
     from pondquay.membership.messages import FindRequest, FoundRequest
     from pondquay.names import GrantId, InstanceId
@@ -157,7 +157,7 @@
             if now - self._searched.get(holder, -SEARCH_SECONDS) < SEARCH_SECONDS:
                 continue
             self._searched[holder] = now
-            await self._platform.run(self.succession.seal_unheard(holder))
+            await self._platform.run(self.succession.seal_unknown_grants(holder))
 
     async def _ask_open(self, grant: WitnessedGrant) -> None:
         """Ask engines what became of attempts whose holder is dead."""
@@ -199,10 +199,14 @@
         for standing in grants:
             sealed = standing.row.state is GrantState.SEALED
             holder = standing.grant.holder
-            if sealed and holder != self._instance and self._peers.is_gone(holder):
+            if (
+                sealed
+                and holder != self._instance
+                and self._peers.is_presumed_dead(holder)
+            ):
                 await self._resolve_orphan(standing)
 
-    async def _resolve_orphan(self, standing: StandingGrant) -> None:
+    async def _resolve_orphan(self, standing: StoredGrant) -> None:
         resolutions = []
         bills = []
         for number, held in standing.row.held.items():
--- a/packages/pondquay-daemon/src/pondquay_daemon/serviceruns.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/serviceruns.py
@@ -5,8 +5,8 @@
 from typing import TYPE_CHECKING
 
 from pondquay.names import name_stream
-from pondquay.routing.admission import ORDER
-from pondquay.routing.policies import Work
+from pondquay.routing.admission import PRIORITY_ORDER
+from pondquay.routing.policies import RequestProfile
 from pondquay.routing.upstreams import SERVICE
 from pondquay_daemon.calls import CachedResponse, Refusal
 from pondquay_daemon.errors import MayHaveRunError, NotSentError
@@ -50,7 +50,7 @@
                 SERVICE,
                 call.service,
                 call.workspace.partner,
-                Work(call.price, rank=ORDER.index(call.priority)),
+                RequestProfile(call.price, rank=PRIORITY_ORDER.index(call.priority)),
                 frozenset(progress.failed),
             )
             started = await self._attempts.start(progress, wish)
--- a/packages/pondquay/src/pondquay/budgets/programs.py
+++ b/packages/pondquay/src/pondquay/budgets/programs.py
@@ -259,14 +259,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StandingGrant:
+class StoredGrant:
     """A grant as its row stands in the table."""
 
     grant: GrantId
     row: GrantRow
 
 
-def list_grants() -> Program[tuple[StandingGrant, ...] | Unreachable]:
+def list_grants() -> Program[tuple[StoredGrant, ...] | Unreachable]:
     """Read every grant that stands in the table."""
     rows = yield from read_rows(prefixes=(GRANT_PREFIX,))
     if isinstance(rows, Unreachable):
@@ -275,5 +275,5 @@
     for row in rows.list_with_prefix(GRANT_PREFIX):
         grant = load_grant(row)
         if grant is not None:
-            found.append(StandingGrant(parse_grant_key(row.key), grant))
+            found.append(StoredGrant(parse_grant_key(row.key), grant))
     return tuple(found)
