--- a/packages/pondquay-daemon/src/pondquay_daemon/__main__.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/__main__.py
@@ -24,10 +24,10 @@
 
 
 class ShowVersion(Action):
-    """Writes the version, which is looked up only if it is asked for."""
+    """Prints the version, which is looked up only when requested."""
 
     def __call__(self, parser: ArgumentParser, *_: object) -> None:
-        """Write the version and exit."""
+        """Print the version and exit."""
         try:
             text = version("pondquay-daemon")
         except PackageNotFoundError:
@@ -48,7 +48,7 @@
     source.add_argument(
         "--border",
         metavar="MODULE",
-        help="run a relay on the platform that this plug-in speaks to",
+        help="run a relay on the platform that this plug-in connects to",
     )
     parser.add_argument(
         "--check", action="store_true", help="check the settings and exit"
@@ -57,28 +57,28 @@
         "--reports-port",
         type=int,
         metavar="PORT",
-        help="with --border: serve /metrics and /dump at this port",
+        help="with --border: serve /metrics and /dump on this port",
     )
     parser.add_argument(
         "--log-level",
-        choices=[one.name.lower() for one in Level],
+        choices=[level.name.lower() for level in Level],
         default=Level.INFO.name.lower(),
-        help="with --border: the least that is logged",
+        help="with --border: the lowest level that is logged",
     )
     parser.add_argument(
         "--policy",
         type=Path,
         metavar="FILE",
-        help="with --border: mechanisms to switch off or set, in a [policy] section",
+        help="with --border: file whose [policy] section configures mechanisms",
     )
     parser.add_argument("--version", action=ShowVersion, nargs=0)
     return parser
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Run the daemon until it is told to stop.
+    """Run the daemon until it receives a signal to stop.
 
-    :returns: 0 after a planned stop, 1 if it failed, 2 for invalid settings
+    :returns: 0 after a planned stop, 1 after a failure, 2 for invalid settings
     """
     options = make_parser().parse_args(arguments)
     if options.border is not None:
@@ -119,31 +119,31 @@
     use_monotonic_clock(reactor)
     application = Application(reactor, settings)
     status = [EXIT_FAILED]
-    anyreactor: Any = reactor
+    untyped_reactor: Any = reactor
 
     async def start() -> None:
         try:
             await application.start()
         except Exception as error:
             log_event("start-failed", Level.ERROR, error=error)
-            anyreactor.stop()
+            untyped_reactor.stop()
 
     async def stop() -> None:
         status[0] = 0 if await application.stop() else EXIT_FAILED
-        anyreactor.stop()
+        untyped_reactor.stop()
 
     def begin_stop(*_: object) -> None:
         if not application.components.stopping:
             application.components.stopping = True
-            anyreactor.callFromThread(lambda: spawn(stop(), "Application"))
+            untyped_reactor.callFromThread(lambda: spawn(stop(), "Application"))
 
     def install_signals() -> Deferred[None]:
         signal(SIGTERM, begin_stop)
         signal(SIGINT, begin_stop)
         return spawn(start(), "Application")
 
-    anyreactor.callWhenRunning(install_signals)
-    anyreactor.run()
+    untyped_reactor.callWhenRunning(install_signals)
+    untyped_reactor.run()
     return status[0]
 
 
--- a/packages/pondquay-daemon/src/pondquay_daemon/application.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/application.py
@@ -1,4 +1,4 @@
-"""One entry instance: its tasks, how they are joined, and its planned stop."""
+"""One entry instance: its tasks, their wiring, and its planned stop."""
 
 from __future__ import annotations
 
@@ -37,13 +37,13 @@
     from pondquay_daemon.settings import Settings
 
 BOOT_BYTES = 6
-STOP_STEP_SECONDS = 0.05
+STOP_CHECK_INTERVAL_SECONDS = 0.05
 RETURN_UNSPENT_SECONDS = 30.0
 ENTRY = "entry"
 
 
 class Application(PeerListener):
-    """All tasks of one instance."""
+    """Creates, starts and stops all tasks of one instance."""
 
     def __init__(self, reactor: Any, settings: Settings) -> None:
         self.reactor = reactor
@@ -113,7 +113,7 @@
         self._ports: list[IListeningPort] = []
 
     async def start(self) -> None:
-        """Open the endpoints and begin all tasks."""
+        """Start all tasks and open the endpoints."""
         listen = self.settings.listen
         for task in (
             self.peers,
@@ -131,8 +131,8 @@
         self.grants.start(self._list_budgets)
         self.recovery.start()
         self.claims.start()
-        self.peers.repeat(1.0, self._follow_peers)
-        most = self.settings.limits.body_bytes
+        self.peers.repeat(1.0, self._update_peer_links)
+        max_body_bytes = self.settings.limits.body_bytes
         callers = CallerEndpoint(
             self.reactor,
             self.settings.limits,
@@ -146,42 +146,44 @@
             (listen.metrics, MetricsEndpoint(self.components).app),
         ):
             port = await listen_http(
-                self.reactor, Address.parse(address), endpoint, most
+                self.reactor, Address.parse(address), endpoint, max_body_bytes
             )
             self._ports.append(port)
         log_event("started", instance=self.instance, domain=self.domain)
 
     def _list_budgets(self) -> list[str]:
-        return [one.name for one in self.configuration.document.list(Budget)]
+        return [budget.name for budget in self.configuration.document.list(Budget)]
 
-    async def _follow_peers(self) -> None:
+    async def _update_peer_links(self) -> None:
         """Keep links to the entry instances that the platform lists."""
         addresses = {
-            Address.parse(one.peer)
-            for one in self.upstreams.listed
-            if one.role == ENTRY and one.peer and one.name != self.instance.name
+            Address.parse(listed.peer)
+            for listed in self.upstreams.listed
+            if listed.role == ENTRY
+            and listed.peer
+            and listed.name != self.instance.name
         }
         if addresses:
-            self.peers.links.want(addresses)
+            self.peers.links.set_addresses(addresses)
 
     async def stop(self) -> bool:
-        """Stop as planned: streams finish, bills are written, grants go back.
+        """Let running requests finish, write their bills and return all grants.
 
-        :returns: whether all of that was done in time
+        :returns: whether all grants were returned before the deadline
         """
-        log_event("stopping", running=self.runner.running())
+        log_event("stopping", running=self.runner.count_running())
         self.components.stopping = True
         self.runner.stopping = True
         self.peers.announce()
         deadline = self.reactor.seconds() + self.settings.limits.stop_seconds
-        while self.runner.running() and self.reactor.seconds() < deadline:
-            await sleep(STOP_STEP_SECONDS, self.reactor)
+        while self.runner.count_running() and self.reactor.seconds() < deadline:
+            await sleep(STOP_CHECK_INTERVAL_SECONDS, self.reactor)
         deadline = self.reactor.seconds() + RETURN_UNSPENT_SECONDS
-        done = await self.grants.return_unspent(self.runner.running)
-        while not done and self.reactor.seconds() < deadline:
-            await sleep(STOP_STEP_SECONDS, self.reactor)
-            done = await self.grants.return_unspent(self.runner.running)
-        level = Level.INFO if done else Level.ERROR
+        returned = await self.grants.return_unspent(self.runner.count_running)
+        while not returned and self.reactor.seconds() < deadline:
+            await sleep(STOP_CHECK_INTERVAL_SECONDS, self.reactor)
+            returned = await self.grants.return_unspent(self.runner.count_running)
+        level = Level.INFO if returned else Level.ERROR
         log_event("stopped", level, grants_left=len(self.grants.holder.holdings))
         for port in self._ports:
             stopped = port.stopListening()
@@ -189,49 +191,49 @@
                 await stopped
         await self.peers.stop()
         self._tasks.close()
-        return done
+        return returned
 
-    # What peers are told
+    # Calls from the peer task
 
     def describe(self) -> Heartbeat:
-        """Return our own heartbeat."""
+        """Return this instance's heartbeat."""
         return Heartbeat(
             self.instance,
             self.domain,
             self.configuration.document.version,
             self.components.stopping,
-            self.upstreams.leaving(),
+            self.upstreams.list_leaving(),
         )
 
     def receive_peer(self, heartbeat: Heartbeat) -> None:
-        """Take in what a peer said of itself."""
+        """Process a peer's heartbeat."""
         self.configuration.receive_version(heartbeat.version)
         self.upstreams.mark_leaving(heartbeat.leaving_upstreams)
 
-    def find_request(self, peer: InstanceId, question: FindRequest) -> FoundRequest:
-        """Look for a running attempt of a request, for a peer."""
-        running = self.runner.index.runs_before(question.request, self.instance, peer)
-        found = FoundRequest(question.number)
-        return self.recovery.answer_question(question, found, running)
+    def find_request(self, peer: InstanceId, query: FindRequest) -> FoundRequest:
+        """Look up a running attempt of a request for a peer."""
+        running = self.runner.index.takes_precedence(query.request, self.instance, peer)
+        response = FoundRequest(query.number)
+        return self.recovery.fill_response(query, response, running)
 
     def list_deltas(self, base: int) -> Deltas:
-        """Return the versions of the configuration after a base."""
+        """Return the configuration versions after a base version."""
         return self.configuration.list_deltas(base)
 
     def receive_deltas(self, message: Deltas) -> None:
-        """Take in versions of the configuration."""
+        """Apply configuration versions that a peer sent."""
         self.configuration.receive_deltas(message)
 
     def receive_budget_call(self, message: HolderMessage | Recall) -> Any | None:
-        """Answer the holder of a grant."""
+        """Return the response to the holder of a grant."""
         return self.grants.receive_call(message)
 
     def receive_budget_response(self, message: Any) -> None:
-        """Take in the answer of a witness."""
+        """Process the response of a witness."""
         self.grants.receive_response(message)
         if message.kind == "settled":
             self.recovery.note_settled(message.grant, message.seqs)
 
     def link_opened(self, peer: InstanceId) -> None:
-        """Learn that a peer can be reached."""
+        """Resend unconfirmed messages to a peer that is reachable again."""
         self.grants.link_opened(peer)
--- a/packages/pondquay-daemon/src/pondquay_daemon/calls.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/calls.py
@@ -1,4 +1,4 @@
-"""What callers ask for, and what they are told."""
+"""Callers' requests, their responses and refusals."""
 
 from __future__ import annotations
 
@@ -18,11 +18,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """Base of a caller's requests.
+    """Base of callers' requests.
 
-    :param keyed: the caller named the request, so it may ask again
-    :param content: digest of what is asked, to recognise a key that is used twice
-    :param wait: seconds that the request may wait for a place
+    :param keyed: whether the caller sent an idempotency key and may retry with it
+    :param repeatable: whether the request may run more than once
+    :param wait: seconds for which the request may wait in the queue
+    :param content: digest of the request, to detect a key reused for another request
     """
 
     request: RequestName
@@ -38,20 +39,20 @@
 class CompletionCall(Call):
     """A chat completion.
 
-    :param bound: the most tokens that the prompt can have
-    :param prefix: names the beginning of the prompt
+    :param max_prompt_tokens: upper bound of the prompt's size in tokens
+    :param prefix: identifier of the beginning of the prompt, empty for a short prompt
     """
 
     model: str
     messages: tuple[dict[str, str], ...]
     max_tokens: int
-    bound: int
+    max_prompt_tokens: int
     prefix: str
 
     @property
     def reserve(self) -> int:
-        """The most that one attempt can cost, in tokens."""
-        return self.bound + self.max_tokens
+        """The maximum cost of one attempt, in tokens."""
+        return self.max_prompt_tokens + self.max_tokens
 
 
 @dataclass(frozen=True, slots=True)
@@ -64,7 +65,7 @@
 
 
 class RefusalCode(StrEnum):
-    """Why a request was refused or has no whole answer."""
+    """Why a request was refused or has no complete response."""
 
     BUDGET_EXHAUSTED = "budget_exhausted"
     OVER_CAPACITY = "over_capacity"
@@ -92,10 +93,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """Why a caller has no whole answer.
+    """Why a caller receives no complete response.
 
-    :param outcome: what is known of the request
-    :param retry_after: seconds after which asking again may help, ``None`` if it won't
+    :param outcome: whether the request ran, as far as is known
+    :param retry_after: seconds after which a retry may succeed, ``None`` if none can
     """
 
     code: RefusalCode
@@ -105,15 +106,15 @@
 
     @property
     def status(self) -> int:
-        """The HTTP status that fits."""
+        """The HTTP status of the refusal."""
         return STATUS[self.code]
 
 
 @dataclass(frozen=True, slots=True)
 class Delivered:
-    """The whole answer was passed on.
+    """The complete response was forwarded to the caller.
 
-    :param tokens: what it was billed
+    :param tokens: the number of tokens billed
     """
 
     tokens: int
@@ -121,7 +122,7 @@
 
 @dataclass(slots=True)
 class CachedResponse:
-    """A whole answer that is kept for a while in case its caller asks again."""
+    """A complete response, cached in case its caller retries the request."""
 
     content: str
     tokens: int
@@ -132,13 +133,13 @@
 
     @property
     def size(self) -> int:
-        """About how much memory it takes, in bytes."""
-        return len(self.body) + sum(len(one.text) + 100 for one in self.frames)
+        """Approximate memory use in bytes."""
+        return len(self.body) + sum(len(frame.text) + 100 for frame in self.frames)
 
 
 class FrameSink(ABC):
-    """Where the pieces of an answer go."""
+    """Receives the frames of a response."""
 
     @abstractmethod
-    def pass_on(self, frame: Frame) -> None:
-        """Pass a piece on to the caller."""
+    def forward(self, frame: Frame) -> None:
+        """Forward a frame to the caller."""
--- a/packages/pondquay-daemon/src/pondquay_daemon/clocks.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/clocks.py
@@ -1,4 +1,4 @@
-"""The clock that a process goes by."""
+"""The reactor's clock."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 
 def use_monotonic_clock(reactor: Any) -> None:
-    """Have a reactor go by the steady clock that counts suspension.
+    """Make a reactor use a monotonic clock that counts time spent suspended.
 
-    Its own is the time of day, which may jump. The usual steady clock stands still
-    while a host is suspended, so what was heard before would seem fresh on waking.
+    The reactor's default is the time of day, which may jump. ``CLOCK_MONOTONIC`` stops
+    while the host is suspended, so stale information would seem fresh after a resume.
     """
     reactor.seconds = partial(time.clock_gettime, time.CLOCK_BOOTTIME)
--- a/packages/pondquay-daemon/src/pondquay_daemon/completionruns.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/completionruns.py
@@ -1,4 +1,4 @@
-"""Chat completions: attempts at engines until an answer is whole or given up."""
+"""Runs chat completions at engines until a response is complete or given up."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from pondquay_daemon.logs import Level, log_event
 from pondquay_daemon.progress import refuse_unfinished
 from pondquay_daemon.tasks import sleep
-from pondquay_daemon.upstreams import Wish
+from pondquay_daemon.upstreams import UpstreamRequirements
 
 if TYPE_CHECKING:
     from twisted.internet.interfaces import IReactorTime
@@ -23,17 +23,17 @@
     from pondquay_daemon.engines import Engines
     from pondquay_daemon.grants import GrantTask
     from pondquay_daemon.metrics import Metrics
-    from pondquay_daemon.progress import Progress, Started
+    from pondquay_daemon.progress import Progress, StartedAttempt
     from pondquay_daemon.recovery import Recovery
     from pondquay_daemon.requestattempts import Attempts
     from pondquay_daemon.requestindex import RequestIndex
 
 MAX_RESUMES = 3
-RESUME_PAUSE_SECONDS = 0.2
+RESUME_BACKOFF_SECONDS = 0.2
 
 
-class CompletionRuns:
-    """Runs chat completions that have been claimed."""
+class CompletionRunner:
+    """Runs claimed chat completions."""
 
     def __init__(
         self,
@@ -56,11 +56,11 @@
     async def run(
         self, progress: Progress, call: CompletionCall, sink: FrameSink
     ) -> Delivered | Refusal:
-        """Run a completion to its end."""
+        """Run a completion to its end, with retries at other upstreams."""
         while True:
             rank = ORDER.index(call.priority)
             work = Work(call.reserve, call.prefix, rank)
-            wish = Wish(
+            requirements = UpstreamRequirements(
                 call.request,
                 ENGINE,
                 call.model,
@@ -68,7 +68,7 @@
                 work,
                 frozenset(progress.failed),
             )
-            started = await self._attempts.start(progress, wish)
+            started = await self._attempts.start(progress, requirements)
             if isinstance(started, Refusal):
                 return started
             response = Response(started.attempt.stream)
@@ -86,13 +86,13 @@
         self,
         progress: Progress,
         call: CompletionCall,
-        started: Started,
+        started: StartedAttempt,
         response: Response,
         sink: FrameSink,
     ) -> None:
-        """Run one attempt until its answer is whole or it is given up."""
+        """Run one attempt until its response is complete or it is given up."""
         upstream = started.placement.upstream
-        pieces: list[float] = []
+        frame_times: list[float] = []
         completion = Completion(
             call.model,
             started.placement.version,
@@ -102,42 +102,46 @@
             started.attempt.boot,
         )
 
-        def take(frame: Frame) -> None:
+        def on_frame(frame: Frame) -> None:
             verdict = response.take(frame)
-            pieces.append(self._clock.seconds())
+            frame_times.append(self._clock.seconds())
             if verdict is not Verdict.PASS_ON:
                 self._metrics.dropped_frames.labels(verdict.value).inc()
             elif not frame.finish:
-                sink.pass_on(frame)
+                sink.forward(frame)
 
         progress.life.dispatch()
         stream = started.attempt.stream
         try:
-            await self._engines.start(upstream.url, stream, completion, take)
+            await self._engines.start(upstream.url, stream, completion, on_frame)
         except (NotSentError, RefusedError) as error:
             await self._attempts.give_up_unstarted(progress, started, error)
             return
         except MayHaveRunError as error:
             self._attempts.log_failure(call, started, error)
         if not response.whole:
-            await self._resume(started, response, take)
+            await self._resume(started, response, on_frame)
         if response.whole:
             upstream.circuit.succeed()
-            if len(pieces) > 1:
-                upstream.observe_pace((pieces[-1] - pieces[0]) / (len(pieces) - 1))
+            if len(frame_times) > 1:
+                upstream.observe_pace(
+                    (frame_times[-1] - frame_times[0]) / (len(frame_times) - 1)
+                )
             progress.life.finish()
             return
         await self._give_up_started(progress, started)
 
-    async def _resume(self, started: Started, response: Response, take: Any) -> None:
-        """Fetch what is missing of an answer from the engine that has it."""
+    async def _resume(
+        self, started: StartedAttempt, response: Response, on_frame: Any
+    ) -> None:
+        """Fetch the missing frames of a response from the engine that runs it."""
         url = started.placement.upstream.url
         failures = 0
         while failures < MAX_RESUMES and not response.whole:
-            await sleep(RESUME_PAUSE_SECONDS * failures, self._clock)
+            await sleep(RESUME_BACKOFF_SECONDS * failures, self._clock)
             before = response.next_offset
             try:
-                await self._engines.resume(url, response.stream, before, take)
+                await self._engines.resume(url, response.stream, before, on_frame)
                 self._metrics.resumes.inc()
             except RefusedError:
                 return
@@ -146,12 +150,14 @@
                 continue
             failures = 0 if response.next_offset > before else failures + 1
 
-    async def _give_up_started(self, progress: Progress, started: Started) -> None:
-        """End an attempt that may have run, for good if the engine answers."""
+    async def _give_up_started(
+        self, progress: Progress, started: StartedAttempt
+    ) -> None:
+        """Cancel an attempt that may have run; settle it if the engine responds."""
         upstream = started.placement.upstream
         self._attempts.avoid(progress, started)
         response = await self._engines.cancel(upstream.url, started.attempt.stream)
-        status = response.seen_from(started.attempt.boot)
+        status = response.for_boot(started.attempt.boot)
         if status.state is StreamState.CANCELLED and not status.started:
             progress.life.refuse()
         else:
@@ -161,23 +167,23 @@
         elif status.state is StreamState.FINISHED:
             await self._grants.settle(started.attempt, status.tokens)
         else:
-            self._recovery.watch(started.attempt, upstream.name)
+            self._recovery.track_unresolved(started.attempt, upstream.name)
 
     async def _finish(
         self,
         progress: Progress,
         call: CompletionCall,
-        started: Started,
+        started: StartedAttempt,
         response: Response,
         sink: FrameSink,
     ) -> Delivered:
-        """Settle, then let the last piece go: its bill is safe before it leaves."""
+        """Settle before forwarding the last frame, so that its bill is recorded."""
         last = response.frames[-1]
         used = last.prompt_tokens + last.output_tokens
         charged = await self._grants.settle(started.attempt, used)
         tokens = used if charged is None else charged
-        sink.pass_on(last)
-        self._index.keep(
+        sink.forward(last)
+        self._index.cache(
             call, CachedResponse(call.content, tokens, tuple(response.frames))
         )
         self._metrics.billed_tokens.labels(call.request.workspace).inc(tokens)
--- a/packages/pondquay-daemon/src/pondquay_daemon/components.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/components.py
@@ -1,4 +1,4 @@
-"""The tasks of one entry instance, as its endpoints for operators see them."""
+"""The parts of one entry instance that its operator and metrics endpoints use."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
 
 @dataclass(slots=True)
 class InstanceComponents:
-    """What an instance consists of.
+    """Tasks and settings of an instance.
 
-    :param stopping: whether a planned stop has begun
+    :param stopping: whether a planned stop has started
     """
 
     settings: Settings
@@ -38,5 +38,5 @@
 
     @property
     def ready(self) -> bool:
-        """Whether callers should be sent here."""
+        """Whether the load balancer should route callers to this instance."""
         return self.configuration.loaded and not self.stopping
--- a/packages/pondquay-daemon/src/pondquay_daemon/configuration.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration task: the version in force here, and how newer ones arrive."""
+"""The configuration task: the active version and the retrieval of newer ones."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
     from pondquay_daemon.peers import PeerTask
     from pondquay_daemon.platform import Platform
 
-POLL_SECONDS = 1.0
-MAX_KEPT = 200
+POLL_INTERVAL_SECONDS = 1.0
+MAX_RECENT_DELTAS = 200
 
 
 class ConfigurationTask(Task):
-    """Keeps the configuration; its version never goes down."""
+    """Holds the active configuration; its version never decreases."""
 
     def __init__(self, reactor: Any, platform: Platform, peers: PeerTask) -> None:
         super().__init__(reactor)
@@ -34,25 +34,25 @@
         self._fetching = False
 
     def start(self) -> None:
-        """Look for newer versions from now on."""
-        self.repeat(POLL_SECONDS, self._poll)
+        """Start to poll for newer versions."""
+        self.repeat(POLL_INTERVAL_SECONDS, self._poll)
 
     async def _poll(self) -> None:
         head = await self._platform.run(read_head())
         if isinstance(head, Unreachable):
-            self._ask_peer()
+            self._request_deltas()
             return
         if head > self.document.version:
             await self._fetch(head)
         self.loaded = self.loaded or head <= self.document.version
 
-    def _ask_peer(self) -> None:
+    def _request_deltas(self) -> None:
         newest = self._peers.table.newest_version()
         if newest > self.document.version:
-            self._peers.ask_deltas(self.document.version)
+            self._peers.request_deltas(self.document.version)
 
     def receive_version(self, version: int) -> None:
-        """Learn from a peer that there is a newer version."""
+        """Fetch the versions up to one that a peer reports, if it is newer."""
         if version > self.document.version and not self._fetching:
             spawn(self._fetch(version), "ConfigurationTask")
 
@@ -63,7 +63,7 @@
         try:
             deltas = await self._platform.run(fetch_deltas(self.document.version, head))
             if isinstance(deltas, Unreachable):
-                self._ask_peer()
+                self._request_deltas()
                 return
             for delta in deltas:
                 self.apply(delta)
@@ -71,25 +71,25 @@
             self._fetching = False
 
     def apply(self, delta: Delta) -> None:
-        """Put the next version in force; any other is left alone."""
+        """Activate a delta if it is the next version, and ignore it otherwise."""
         if delta.version != self.document.version + 1:
             return
         self.document = self.document.apply(delta)
         self.loaded = True
         self._recent.append(delta)
-        del self._recent[:-MAX_KEPT]
+        del self._recent[:-MAX_RECENT_DELTAS]
         log_event("configuration", version=delta.version, plan=delta.plan)
         self._peers.announce()
 
     def list_deltas(self, base: int) -> Deltas:
-        """Return the versions after a base, as far as they are kept."""
-        following = [one for one in self._recent if one.version > base]
+        """Return the versions after a base, none if the first of them is not cached."""
+        following = [delta for delta in self._recent if delta.version > base]
         if not following or following[0].version != base + 1:
             return Deltas(())
-        return Deltas(tuple(one.model_dump_json() for one in following))
+        return Deltas(tuple(delta.model_dump_json() for delta in following))
 
     def receive_deltas(self, message: Deltas) -> None:
-        """Take in versions from a peer."""
+        """Apply the versions that a peer sent."""
         for text in message.texts:
             try:
                 self.apply(Delta.model_validate_json(text))
--- a/packages/pondquay-daemon/src/pondquay_daemon/endpoints/__init__.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/endpoints/__init__.py
@@ -1,3 +1,3 @@
-"""The endpoints: HTTP for callers, for operators and for metrics."""
+"""HTTP endpoints for callers, operators and metrics."""
 
 from __future__ import annotations
--- a/packages/pondquay-daemon/src/pondquay_daemon/endpoints/callers.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/endpoints/callers.py
@@ -25,7 +25,7 @@
     CompleteResponse,
     CompletionResponse,
     StreamedResponse,
-    write_names,
+    set_request_header,
     write_refusal,
 )
 from pondquay_daemon.endpoints.forms import (
@@ -61,14 +61,14 @@
     from pondquay_daemon.settings import LimitsSection
 
 GENERATED_KEY_BYTES = 16
-PASSED_ON = ("Content-Type", "Accept", "If-Match", "If-None-Match")
+FORWARDED_HEADERS = ("Content-Type", "Accept", "If-Match", "If-None-Match")
 METHODS = ["GET", "HEAD", "OPTIONS", "PUT", "DELETE", "POST", "PATCH"]
 
 
 class RejectedError(Exception):
-    """A request is not well formed; nothing of it is charged.
+    """A request is invalid; it is not charged.
 
-    :param param: the field concerned
+    :param param: name of the invalid field or header
     """
 
     def __init__(
@@ -81,7 +81,7 @@
 
 
 class CallerEndpoint:
-    """Serves callers."""
+    """Serves models, chat completions and plain services to callers."""
 
     def __init__(
         self,
@@ -107,7 +107,7 @@
         self.app.handle_errors(RejectedError)(handler)
 
     def show_rejected(self, request: Request, failure: Any) -> bytes:
-        """Answer a request that is not well formed."""
+        """Return the error response to an invalid request."""
         error: RejectedError = failure.value
         request.setHeader(OUTCOME_HEADER, Outcome.NOT_RUN.value)
         self._count("rejected", error.code)
@@ -134,12 +134,17 @@
     # Models
 
     def list_models(self, request: Request) -> bytes:
-        """List the models that can be asked for."""
+        """Return the list of models."""
         self._find_workspace(request)
-        models = sorted(self._document.list(Model), key=lambda one: one.name)
+        models = sorted(self._document.list(Model), key=lambda model: model.name)
         data = [
-            {"id": one.name, "object": "model", "created": 0, "owned_by": one.partner}
-            for one in models
+            {
+                "id": model.name,
+                "object": "model",
+                "created": 0,
+                "owned_by": model.partner,
+            }
+            for model in models
         ]
         return write_json(request, {"object": "list", "data": data})
 
@@ -152,7 +157,7 @@
         form = self._read_form(request)
         headers = read_headers(request)
         call = self._make_completion(workspace, form, headers)
-        started = self._clock.seconds()
+        started_at = self._clock.seconds()
         response: CompletionResponse
         if form.stream:
             include_usage = bool(
@@ -161,11 +166,11 @@
             response = StreamedResponse(request, call, include_usage)
         else:
             response = CompleteResponse(request, call)
-        response.watch_first(lambda: self._note_first(started))
+        response.set_first_callback(lambda: self._observe_first_token(started_at))
         return Deferred.fromCoroutine(self._complete(call, response))
 
-    def _note_first(self, started: float) -> None:
-        self._metrics.first_token.observe(self._clock.seconds() - started)
+    def _observe_first_token(self, started_at: float) -> None:
+        self._metrics.first_token.observe(self._clock.seconds() - started_at)
 
     async def _complete(
         self, call: CompletionCall, response: CompletionResponse
@@ -177,9 +182,9 @@
 
     def _check_size(self, request: Request) -> None:
         if getattr(request, "too_large", False):
-            most = self._limits.body_bytes
+            max_bytes = self._limits.body_bytes
             raise RejectedError(
-                TOO_LARGE, "body_too_large", f"the body is over {most} bytes"
+                TOO_LARGE, "body_too_large", f"the body is over {max_bytes} bytes"
             )
 
     def _read_form(self, request: Request) -> CompletionForm:
@@ -187,7 +192,7 @@
             return CompletionForm.model_validate(read_json(request))
         except ValidationError as error:
             first = error.errors()[0]
-            param = ".".join(str(one) for one in first["loc"])
+            param = ".".join(str(key) for key in first["loc"])
             raise RejectedError(
                 BAD_REQUEST, "invalid_value", f"{param}: {first['msg']}", param
             ) from error
@@ -212,9 +217,9 @@
                 f"at most {model.output_limit} output tokens can be asked for",
                 "max_completion_tokens" if form.max_completion_tokens else "max_tokens",
             )
-        texts = [one.text for one in form.messages]
+        texts = [message.text for message in form.messages]
         messages = tuple(
-            {"role": one.role, "content": one.text} for one in form.messages
+            {"role": message.role, "content": message.text} for message in form.messages
         )
         return CompletionCall(
             request=RequestName(workspace.name, headers.key or make_key()),
@@ -222,25 +227,25 @@
             keyed=headers.key is not None,
             repeatable=headers.repeatable != "no",
             priority=headers.priority or workspace.priority,
-            wait=self._wait(headers),
+            wait=self._limit_wait(headers),
             content=digest_content([form.model, messages, limit]),
             model=form.model,
             messages=messages,
             max_tokens=limit,
-            bound=bound_prompt_tokens(texts),
+            max_prompt_tokens=bound_prompt_tokens(texts),
             prefix=name_prefix(texts),
         )
 
-    def _wait(self, headers: CallHeaders) -> float:
-        longest = self._limits.queue_seconds
+    def _limit_wait(self, headers: CallHeaders) -> float:
+        max_seconds = self._limits.queue_seconds
         if headers.deadline_ms is None:
-            return longest
-        return min(longest, headers.deadline_ms / 1000)
+            return max_seconds
+        return min(max_seconds, headers.deadline_ms / 1000)
 
     # Plain services
 
     def call(self, request: Request, name: str, path: str) -> Deferred[Any]:
-        """Pass a call on to a plain service."""
+        """Forward a call to a plain service."""
         workspace = self._find_workspace(request)
         self._check_size(request)
         headers = read_headers(request)
@@ -269,23 +274,27 @@
         repeatable = method in service.repeatable
         if headers.repeatable is not None:
             repeatable = headers.repeatable == "yes"
-        passed = {one: value for one in PASSED_ON if (value := request.getHeader(one))}
+        forwarded = {
+            header: value
+            for header in FORWARDED_HEADERS
+            if (value := request.getHeader(header))
+        }
         return PlainCall(
             request=RequestName(workspace.name, headers.key or make_key()),
             workspace=workspace,
             keyed=headers.key is not None,
             repeatable=repeatable,
             priority=headers.priority or workspace.priority,
-            wait=self._wait(headers),
+            wait=self._limit_wait(headers),
             content=sha256(f"{method} {target}\n".encode() + body).hexdigest(),
             service=service.name,
             price=service.price,
-            call=ServiceCall(method, target, body, passed),
+            call=ServiceCall(method, target, body, forwarded),
         )
 
     async def _call(self, request: Request, call: PlainCall) -> bytes:
         result = await self._runner.call_service(call)
-        write_names(request, call.request)
+        set_request_header(request, call.request)
         if isinstance(result, Refusal):
             self._count("service", result.code.value)
             return write_refusal(request, result)
@@ -299,14 +308,14 @@
 
 
 def make_key() -> str:
-    """Return a key for a request that its caller did not name."""
+    """Return a random key for a request without an idempotency key."""
     return f"auto-{token_hex(GENERATED_KEY_BYTES)}"
 
 
 def read_headers(request: Request) -> CallHeaders:
-    """Read the headers that qualify a request.
+    """Parse the headers that control how a request is handled.
 
-    :raises RejectedError: if one has another form
+    :raises RejectedError: if a header is malformed
     """
     values = {
         field: value
--- a/packages/pondquay-daemon/src/pondquay_daemon/endpoints/completions.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/endpoints/completions.py
@@ -1,4 +1,4 @@
-"""Answers to chat completions: whole, or as server-sent events."""
+"""Responses to chat completions: complete, or as server-sent events."""
 
 from __future__ import annotations
 
@@ -24,53 +24,53 @@
 
 
 class CompletionResponse(FrameSink):
-    """An answer on its way to a caller, who may go away meanwhile.
+    """A response to a caller, who may disconnect before it is complete.
 
-    A caller that goes away does not end the request: it finishes, is billed once, and
-    its answer is kept for when the caller asks again with the same key.
+    The request of a caller that disconnects still finishes and is billed once. Its
+    response is cached in case the caller retries with the same key.
     """
 
     def __init__(self, request: Request, call: CompletionCall) -> None:
         self.request = request
         self.call = call
-        self.gone = False
+        self.disconnected = False
         self._on_first: Callable[[], None] | None = None
-        request.notifyFinish().addErrback(self._note_gone)
+        request.notifyFinish().addErrback(self._note_disconnected)
 
-    def _note_gone(self, reason: object) -> None:
-        self.gone = True
+    def _note_disconnected(self, reason: object) -> None:
+        self.disconnected = True
 
-    def watch_first(self, on_first: Callable[[], None]) -> None:
-        """Have something called at the first piece."""
+    def set_first_callback(self, on_first: Callable[[], None]) -> None:
+        """Set a callback for the first frame."""
         self._on_first = on_first
 
     def note_first(self) -> None:
-        """Note that the first piece came."""
+        """Call the callback for the first frame once."""
         if self._on_first is not None:
             self._on_first()
             self._on_first = None
 
     def end(self, result: Delivered | Refusal) -> bytes:
-        """Return what is left to be written once the request has ended."""
+        """Return the content that remains to be written after the request has ended."""
         raise NotImplementedError
 
 
 class CompleteResponse(CompletionResponse):
-    """An answer that is written when it is whole."""
+    """A response that is written once it is complete."""
 
     def __init__(self, request: Request, call: CompletionCall) -> None:
         super().__init__(request, call)
         self._frames: list[Frame] = []
 
-    def pass_on(self, frame: Frame) -> None:
-        """Keep a piece."""
+    def forward(self, frame: Frame) -> None:
+        """Buffer a frame."""
         self.note_first()
         self._frames.append(frame)
 
     def end(self, result: Delivered | Refusal) -> bytes:
-        """Return the whole answer, or the refusal."""
-        write_names(self.request, self.call.request)
-        if self.gone:
+        """Return the complete response or the refusal."""
+        set_request_header(self.request, self.call.request)
+        if self.disconnected:
             return b""
         if isinstance(result, Refusal):
             return write_refusal(self.request, result)
@@ -87,7 +87,7 @@
                     "index": 0,
                     "message": {
                         "role": "assistant",
-                        "content": "".join(one.text for one in self._frames),
+                        "content": "".join(frame.text for frame in self._frames),
                     },
                     "finish_reason": last.finish,
                 }
@@ -98,19 +98,19 @@
 
 
 class StreamedResponse(CompletionResponse):
-    """An answer whose pieces are written as server-sent events as they come."""
+    """A response whose frames are written as server-sent events when they arrive."""
 
     def __init__(
         self, request: Request, call: CompletionCall, include_usage: bool
     ) -> None:
         super().__init__(request, call)
         self._include_usage = include_usage
-        self._begun = False
+        self._started = False
 
-    def pass_on(self, frame: Frame) -> None:
-        """Write a piece."""
+    def forward(self, frame: Frame) -> None:
+        """Write a frame as an event."""
         self.note_first()
-        self._begin()
+        self._start()
         delta = {"content": frame.text} if frame.text else {}
         choice = {
             "index": 0,
@@ -121,11 +121,11 @@
         if frame.finish and self._include_usage:
             self._write_event([], describe_usage(frame))
 
-    def _begin(self) -> None:
-        if self._begun:
+    def _start(self) -> None:
+        if self._started:
             return
-        self._begun = True
-        write_names(self.request, self.call.request)
+        self._started = True
+        set_request_header(self.request, self.call.request)
         self.request.setHeader("Content-Type", "text/event-stream")
         self.request.setHeader("Cache-Control", "no-store")
 
@@ -144,17 +144,17 @@
         self._write(json.dumps(event).encode())
 
     def _write(self, content: bytes) -> None:
-        if not self.gone:
+        if not self.disconnected:
             self.request.write(b"data: " + content + b"\n\n")
 
     def end(self, result: Delivered | Refusal) -> bytes:
-        """Write the end mark, or an error event that says there is none."""
+        """Write the last event, or return a refusal if no event was written."""
         if isinstance(result, Delivered):
             self._write(b"[DONE]")
             return b""
-        if not self._begun:
-            write_names(self.request, self.call.request)
-            return b"" if self.gone else write_refusal(self.request, result)
+        if not self._started:
+            set_request_header(self.request, self.call.request)
+            return b"" if self.disconnected else write_refusal(self.request, result)
         error = {
             "type": "server_error",
             "code": result.code.value,
@@ -166,7 +166,7 @@
 
 
 def describe_usage(frame: Frame) -> dict[str, int]:
-    """Return the usage that the last piece of an answer tells."""
+    """Return the token usage that the last frame of a response reports."""
     return {
         "prompt_tokens": frame.prompt_tokens,
         "completion_tokens": frame.output_tokens,
@@ -174,13 +174,13 @@
     }
 
 
-def write_names(request: Request, name: RequestName) -> None:
-    """Set the header that names a request."""
+def set_request_header(request: Request, name: RequestName) -> None:
+    """Set the response header with the request's key."""
     request.setHeader(REQUEST_HEADER, name.key)
 
 
 def write_refusal(request: Request, refusal: Refusal) -> bytes:
-    """Return a refusal in the usual envelope, at once."""
+    """Set the headers of a refusal and return its error envelope."""
     request.setHeader(OUTCOME_HEADER, refusal.outcome.value)
     if refusal.retry_after is not None:
         request.setHeader("Retry-After", str(refusal.retry_after))
--- a/packages/pondquay-daemon/src/pondquay_daemon/endpoints/dumps.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/endpoints/dumps.py
@@ -1,4 +1,4 @@
-"""The dump of an instance's state: everything but secrets and payloads, bounded."""
+"""The state dump of an instance, bounded and without secrets and payloads."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def dump_state(components: InstanceComponents) -> dict[str, Any]:
-    """Return the state of an instance as JSON objects."""
+    """Return an instance's state for JSON, with at most ``MAX_ITEMS`` of each list."""
     holder = components.grants.holder
     witness = components.grants.witness
     return {
@@ -28,33 +28,36 @@
         },
         "peers": [
             {
-                "instance": str(one.instance),
-                "domain": one.domain,
-                "version": one.version,
+                "instance": str(peer.instance),
+                "domain": peer.domain,
+                "version": peer.version,
             }
-            for one in list(components.peers.table.known.values())[:MAX_ITEMS]
+            for peer in list(components.peers.table.known.values())[:MAX_ITEMS]
         ],
         "upstreams": [
             {
-                "name": one.name,
-                "state": one.state.value,
-                "running": one.running,
-                "outstanding": one.outstanding,
-                "circuit_failures": one.circuit.failures,
+                "name": upstream.name,
+                "state": upstream.state.value,
+                "running": upstream.running,
+                "outstanding": upstream.outstanding,
+                "circuit_failures": upstream.circuit.failures,
             }
-            for one in list(components.upstreams.known.values())[:MAX_ITEMS]
+            for upstream in list(components.upstreams.known.values())[:MAX_ITEMS]
         ],
         "running": [
-            str(one) for one in list(components.runner.index.running)[:MAX_ITEMS]
+            str(request)
+            for request in list(components.runner.index.running)[:MAX_ITEMS]
         ],
-        "waiting": components.upstreams.waiting(),
+        "waiting": components.upstreams.count_waiting(),
         "holdings": [
-            _dump_holding(one) for one in list(holder.holdings.values())[:MAX_ITEMS]
+            _dump_holding(holding)
+            for holding in list(holder.holdings.values())[:MAX_ITEMS]
         ],
         "witnessed": [
-            _dump_witnessed(one) for one in list(witness.grants.values())[:MAX_ITEMS]
+            _dump_witnessed(grant)
+            for grant in list(witness.grants.values())[:MAX_ITEMS]
         ],
-        "bills_in_one_memory": components.grants.unsafe_bills,
+        "bills_in_one_memory": components.grants.unrecorded_bills,
     }
 
 
--- a/packages/pondquay-daemon/src/pondquay_daemon/endpoints/forms.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/endpoints/forms.py
@@ -1,4 +1,4 @@
-"""What callers send, as validated models, and how it becomes a call."""
+"""Validated models of callers' requests, and digests of their content."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class TextPart(BaseModel):
-    """A part of a message."""
+    """A text part of a message."""
 
     model_config = ConfigDict(extra="ignore")
 
@@ -35,14 +35,14 @@
 
     @property
     def text(self) -> str:
-        """The whole text of the message."""
+        """The text of the message, with its parts joined."""
         if isinstance(self.content, str):
             return self.content
         return "".join(part.text for part in self.content)
 
 
 class StreamOptions(BaseModel):
-    """Options of a streamed answer."""
+    """Options of a streamed response."""
 
     model_config = ConfigDict(extra="ignore")
 
@@ -50,7 +50,7 @@
 
 
 class CompletionForm(BaseModel):
-    """The body of a chat completion request; fields that are not known are ignored."""
+    """The body of a chat completion request; unknown fields are ignored."""
 
     model_config = ConfigDict(extra="ignore", strict=True)
 
@@ -64,12 +64,12 @@
 
     @property
     def limit(self) -> int | None:
-        """The output limit that the caller states."""
+        """The caller's limit of output tokens, ``None`` if there is none."""
         return self.max_completion_tokens or self.max_tokens
 
 
 class CallHeaders(BaseModel):
-    """Headers by which callers name and qualify a request."""
+    """Headers that identify a request and control how it is handled."""
 
     model_config = ConfigDict(frozen=True)
 
@@ -88,13 +88,16 @@
 
 
 def digest_content(content: Any) -> str:
-    """Return a digest by which two requests with one key can be told apart."""
+    """Return a digest that detects a key reused for a different request."""
     text = content if isinstance(content, bytes) else json.dumps(content).encode()
     return sha256(text).hexdigest()
 
 
 def name_prefix(texts: list[str]) -> str:
-    """Return the name of the beginning of a prompt, as engines report it."""
+    """Return the identifier of a prompt's beginning, as engines report it.
+
+    :returns: an empty string for a prompt shorter than ``PREFIX_CHARACTERS``
+    """
     joined = "\n".join(texts)
     if len(joined) < PREFIX_CHARACTERS:
         return ""
--- a/packages/pondquay-daemon/src/pondquay_daemon/endpoints/metrics.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/endpoints/metrics.py
@@ -1,4 +1,4 @@
-"""The metrics endpoint: metrics, liveness and readiness."""
+"""The endpoint for metrics, liveness and readiness."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
         self.app.route("/ready", methods=["GET"])(self.show_ready)
 
     def show_metrics(self, request: Request) -> bytes:
-        """Return all metrics in the text format."""
+        """Return all metrics in the Prometheus text format."""
         self._update()
         request.setHeader("Content-Type", CONTENT_TYPE_LATEST)
         return generate_latest(self._components.metrics.registry)
@@ -35,8 +35,8 @@
         components = self._components
         metrics = components.metrics
         holdings = components.grants.holder.holdings.values()
-        metrics.running.set(components.runner.running())
-        metrics.waiting.set(components.upstreams.waiting())
+        metrics.running.set(components.runner.count_running())
+        metrics.waiting.set(components.upstreams.count_waiting())
         metrics.version.set(components.configuration.document.version)
         metrics.peers.set(components.peers.count())
         metrics.platform_up.set(1 if components.platform.reachable else 0)
@@ -44,16 +44,18 @@
         metrics.table_reads.set(components.platform.reads)
         metrics.peer_bytes.set(components.peers.links.sent_bytes)
         metrics.peer_messages.set(components.peers.links.sent_messages)
-        metrics.links_cut.set(components.peers.links.cut_off)
-        metrics.unsafe_bills.set(components.grants.unsafe_bills)
+        metrics.links_cut.set(components.peers.links.aborted_links)
+        metrics.unrecorded_bills.set(components.grants.unrecorded_bills)
         metrics.grants_held.set(components.grants.holder.count_open())
-        metrics.held_tokens.set(sum(one.amount - one.spent for one in holdings))
+        metrics.held_tokens.set(
+            sum(holding.amount - holding.spent for holding in holdings)
+        )
 
     def show_health(self, request: Request) -> bytes:
-        """Say that the process runs."""
+        """Return the instance's identifier as a sign of liveness."""
         return write_json(request, {"instance": str(self._components.instance)})
 
     def show_ready(self, request: Request) -> bytes:
-        """Say whether the balancer should send callers here."""
+        """Return whether the load balancer should route callers to this instance."""
         ready = self._components.ready
         return write_json(request, {"ready": ready}, 200 if ready else UNAVAILABLE)
--- a/packages/pondquay-daemon/src/pondquay_daemon/endpoints/operators.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/endpoints/operators.py
@@ -1,4 +1,4 @@
-"""The operator endpoint: plans, the state of the fleet, budgets, bills, and dumps."""
+"""The operator endpoint: plans, fleet status, budgets, bills, upstreams and dumps."""
 
 from __future__ import annotations
 
@@ -54,12 +54,12 @@
     from pondquay.configuration.programs import ConfirmOutcome
     from pondquay_daemon.components import InstanceComponents
 
-PLAN_BYTES = 5
+PLAN_ID_BYTES = 5
 ACCEPTED = 202
 
 
 class IntentForm(BaseModel):
-    """An intent as it comes through the endpoint."""
+    """The body of a request that proposes a plan."""
 
     model_config = ConfigDict(extra="forbid")
 
@@ -68,7 +68,7 @@
 
 
 class OperatorEndpoint:
-    """Serves operators; each request comes with a partner's operator key."""
+    """Serves operators, who authenticate with their partner's operator key."""
 
     def __init__(self, components: InstanceComponents) -> None:
         self._components = components
@@ -88,7 +88,7 @@
         self,
         path: str,
         method: str,
-        response: Callable[..., Coroutine[Deferred[Any], Any, bytes]],
+        handler: Callable[..., Coroutine[Deferred[Any], Any, bytes]],
     ) -> None:
         def serve(request: Request, **values: str) -> Deferred[bytes] | bytes:
             partner = self._find_partner(request)
@@ -96,7 +96,7 @@
                 return write_error(
                     request, UNAUTHORIZED, "invalid_operator_key", "key is not known"
                 )
-            return Deferred.fromCoroutine(response(request, partner, **values))
+            return Deferred.fromCoroutine(handler(request, partner, **values))
 
         endpoint = f"{method}-{path}"
         self.app.route(path, methods=[method], endpoint=endpoint)(serve)
@@ -115,18 +115,18 @@
             form = IntentForm.model_validate(read_json(request))
         except ValidationError as error:
             first = error.errors()[0]
-            place = ".".join(str(one) for one in first["loc"])
+            field = ".".join(str(key) for key in first["loc"])
             return write_error(
-                request, BAD_REQUEST, "invalid_intent", f"{place}: {first['msg']}"
+                request, BAD_REQUEST, "invalid_intent", f"{field}: {first['msg']}"
             )
         except ValueError:
             return write_error(request, BAD_REQUEST, "invalid_json", "not JSON")
         document = self._components.configuration.document
-        plan_id = token_hex(PLAN_BYTES)
+        plan_id = token_hex(PLAN_ID_BYTES)
         try:
             plan = make_plan(plan_id, partner, document, form.wanted, form.removed)
         except InvalidInputError as error:
-            findings = [str(one) for one in error.findings]
+            findings = [str(finding) for finding in error.findings]
             return write_error(
                 request,
                 UNPROCESSABLE,
@@ -145,7 +145,7 @@
         if isinstance(plans, Unreachable):
             return _write_unreachable(request)
         return write_json(
-            request, {"plans": [one.model_dump(mode="json") for one in plans]}
+            request, {"plans": [plan.model_dump(mode="json") for plan in plans]}
         )
 
     async def _show_plan(self, request: Request, partner: str, plan_id: str) -> bytes:
@@ -175,7 +175,7 @@
             self._components.configuration.receive_version(outcome.version)
         return _write_confirm(request, outcome)
 
-    # What stands
+    # Fleet status, budgets and bills
 
     async def _show_status(self, request: Request, partner: str) -> bytes:
         components = self._components
@@ -208,7 +208,9 @@
                 "version": components.configuration.document.version,
                 "partner": partner,
                 "platform_reachable": components.platform.reachable,
-                "instances": sorted(instances, key=lambda one: str(one["name"])),
+                "instances": sorted(
+                    instances, key=lambda instance: str(instance["name"])
+                ),
             },
         )
 
@@ -229,8 +231,10 @@
             budget = load_budget(row)
             if budget is None or not self._owns(partner, workspace):
                 continue
-            own = [one for one in grants if one.row.workspace == workspace]
-            held = sum(one.reserve for grant in own for one in grant.row.held.values())
+            own = [stored for stored in grants if stored.row.workspace == workspace]
+            held = sum(
+                attempt.reserve for grant in own for attempt in grant.row.held.values()
+            )
             account = accounts.get(workspace)
             by_instance: dict[str, int] = {}
             for grant in own:
@@ -271,12 +275,12 @@
                 "billed": statement.account.billed,
                 "surplus": statement.account.surplus,
                 "requests": {
-                    key: {"tokens": one.tokens, "attempts": list(one.attempts)}
-                    for key, one in statement.requests.items()
+                    key: {"tokens": billed.tokens, "attempts": list(billed.attempts)}
+                    for key, billed in statement.requests.items()
                 },
                 "pending": [
-                    {"key": one.key, "tokens": one.tokens, "attempt": one.attempt}
-                    for one in statement.pending
+                    {"key": bill.key, "tokens": bill.tokens, "attempt": bill.attempt}
+                    for bill in statement.pending
                 ],
             },
         )
@@ -284,18 +288,18 @@
     async def _show_upstreams(self, request: Request, partner: str) -> bytes:
         upstreams = [
             {
-                "name": one.name,
-                "kind": one.kind,
-                "domain": one.domain,
-                "partner": one.partner,
-                "state": one.state.value,
-                "load_tokens": one.load,
-                "running_here": one.running,
-                "serves": [list(pair) for pair in one.report.models]
-                if one.report
+                "name": upstream.name,
+                "kind": upstream.kind,
+                "domain": upstream.domain,
+                "partner": upstream.partner,
+                "state": upstream.state.value,
+                "load_tokens": upstream.load,
+                "running_here": upstream.running,
+                "serves": [list(pair) for pair in upstream.report.models]
+                if upstream.report
                 else [],
             }
-            for one in self._components.upstreams.known.values()
+            for upstream in self._components.upstreams.known.values()
         ]
         return write_json(request, {"upstreams": upstreams})
 
--- a/packages/pondquay-daemon/src/pondquay_daemon/endpoints/responses.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/endpoints/responses.py
@@ -1,4 +1,4 @@
-"""Writing JSON answers and errors, and reading keys."""
+"""Helpers that write JSON responses and errors and read keys and JSON bodies."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def write_json(request: Request, content: object, status: int = 200) -> bytes:
-    """Return a JSON answer and set its status and type."""
+    """Set a response's status and content type, and return its JSON body."""
     request.setResponseCode(status)
     request.setHeader("Content-Type", JSON_TYPE)
     return json.dumps(content).encode()
@@ -37,9 +37,10 @@
     param: str | None = None,
     **details: object,
 ) -> bytes:
-    """Return an error in the usual envelope.
+    """Set an error's status and return its JSON envelope.
 
-    :param param: the field concerned
+    :param param: name of the invalid field
+    :param details: further fields of the error
     """
     kind = "invalid_request_error" if status < UNAVAILABLE else "server_error"
     error = {"type": kind, "code": code, "message": message, "param": param}
@@ -47,7 +48,7 @@
 
 
 def read_bearer(request: Request) -> str | None:
-    """Return the key that came with a request."""
+    """Return a request's bearer key, ``None`` if it has none."""
     header = request.getHeader("Authorization") or ""
     if not header.startswith(BEARER):
         return None
@@ -55,14 +56,14 @@
 
 
 def digest_key(key: str) -> str:
-    """Return the digest by which a key is known."""
+    """Return the digest under which a key is configured."""
     return DIGEST_PREFIX + sha256(key.encode()).hexdigest()
 
 
 def read_json(request: Request) -> Any:
-    """Return the body of a request as JSON.
+    """Parse the body of a request as JSON.
 
-    :raises ValueError: if it is not JSON
+    :raises ValueError: if it is not valid JSON
     """
     assert request.content is not None
     request.content.seek(0)
--- a/packages/pondquay-daemon/src/pondquay_daemon/endpoints/sites.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/endpoints/sites.py
@@ -1,4 +1,4 @@
-"""Serving klein applications, with a limit on the size of what is sent to them."""
+"""Serves klein applications with a limit on the size of request bodies."""
 
 from __future__ import annotations
 
@@ -18,41 +18,41 @@
 
 
 class BoundedRequest(Request):
-    """A request that keeps no more of its body than the limit."""
+    """A request that discards a body over the limit and sets ``too_large``."""
 
-    most_bytes = 1 << 20
+    max_bytes = 1 << 20
     too_large = False
 
     def gotLength(self, length: int | None) -> None:  # noqa: N802
-        """Learn the length that was announced."""
-        if length is not None and length > self.most_bytes:
+        """Handle the announced length of the body."""
+        if length is not None and length > self.max_bytes:
             self.too_large = True
         announced = 0 if self.too_large else length
         super().gotLength(announced)  # type: ignore[no-untyped-call]
 
     def handleContentChunk(self, data: bytes) -> None:  # noqa: N802
-        """Take in a part of the body, unless it is over the limit."""
+        """Store a chunk of the body, unless the body is over the limit."""
         if self.too_large:
             return
         assert self.content is not None
-        if self.content.tell() + len(data) > self.most_bytes:
+        if self.content.tell() + len(data) > self.max_bytes:
             self.too_large = True
             return
         super().handleContentChunk(data)  # type: ignore[no-untyped-call]
 
 
 async def listen_http(
-    reactor: Any, address: Address, app: Klein, most_bytes: int
+    reactor: Any, address: Address, app: Klein, max_bytes: int
 ) -> IListeningPort:
     """Serve an application at an address.
 
-    :param most_bytes: the largest body that is taken
+    :param max_bytes: maximum size of a request's body
     """
 
     class LimitedRequest(BoundedRequest):
         pass
 
-    LimitedRequest.most_bytes = most_bytes
+    LimitedRequest.max_bytes = max_bytes
     site = Site(app.resource(), requestFactory=LimitedRequest, timeout=IDLE_SECONDS)
     site.displayTracebacks = False
     site.noisy = False
--- a/packages/pondquay-daemon/src/pondquay_daemon/engines.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/engines.py
@@ -1,4 +1,4 @@
-"""The client of model engines: starting, resuming, asking for and ending streams."""
+"""The client of model engines: starts, resumes, queries and cancels streams."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 from pondquay.streams import Frame
 from pondquay_daemon.errors import MayHaveRunError, NotSentError, RefusedError
-from pondquay_daemon.platform import NETWORK_ERRORS, OK, make_pool
+from pondquay_daemon.platform import NETWORK_ERRORS, OK, make_connection_pool
 from pondquay_daemon.retryafter import read_backoff
 
 if TYPE_CHECKING:
@@ -27,24 +27,23 @@
 PRIORITY_HEADER = "Pondquay-Priority"
 BOOT_HEADER = "Pondquay-Boot"
 CONNECT_SECONDS = 1.0
-ACCEPT_SECONDS = 5.0
-STALL_SECONDS = 10.0
-QUESTION_SECONDS = 2.0
+ACCEPT_TIMEOUT_SECONDS = 5.0
+STALL_TIMEOUT_SECONDS = 10.0
+REQUEST_TIMEOUT_SECONDS = 2.0
 MAX_CONNECTIONS = 64
 MAX_LINE_BYTES = 1 << 20
 DATA_PREFIX = b"data: "
 END_MARK = b"[DONE]"
 CLIENT_ERRORS = range(400, 500)
-# An engine that has no room. Only with this is its ``Retry-After`` about the engine
-# itself and not about the caller.
-FULL = 503
-REFUSALS = (429, FULL)
+# With this status, ``Retry-After`` refers to the engine rather than to the caller.
+SERVICE_UNAVAILABLE = 503
+REFUSALS = (429, SERVICE_UNAVAILABLE)
 
 
 class StreamState(StrEnum):
-    """What an engine says of a stream.
+    """State of a stream at an engine.
 
-    ``CANCELLED`` is for good: the engine refuses to start it later.
+    ``CANCELLED`` is final: the engine refuses to start the stream later.
     """
 
     RUNNING = "running"
@@ -56,11 +55,11 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamStatus:
-    """An engine's word on a stream.
+    """Status of a stream as an engine reports it.
 
-    :param tokens: what it cost, if it finished
-    :param started: whether any of it ran; a stream can be cancelled after it began
-    :param boot: the life of the engine that answers
+    :param tokens: the stream's cost, if it finished
+    :param started: whether any of it ran; a started stream can still be cancelled
+    :param boot: incarnation of the engine that responds
     """
 
     state: StreamState
@@ -68,10 +67,13 @@
     started: bool = True
     boot: str = ""
 
-    def seen_from(self, boot: str) -> StreamStatus:
-        """Return what the answer says of a stream begun in some life of the engine.
+    def for_boot(self, boot: str) -> StreamStatus:
+        """Return the status for a stream that was sent to a certain incarnation.
 
-        In another life the engine knows nothing of it, whatever it answers.
+        The report of any other incarnation says nothing about the stream and counts as
+        unreachable.
+
+        :param boot: incarnation to which the stream was sent, empty if unknown
         """
         if boot in ("", self.boot):
             return self
@@ -80,9 +82,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Completion:
-    """What an engine is asked to run.
+    """A completion for an engine to run.
 
-    :param boot: the life of the engine that it is meant for; another one refuses
+    :param boot: incarnation of the engine to run it; any other refuses
     """
 
     model: str
@@ -94,27 +96,27 @@
 
 
 class FrameReceiver(Protocol):
-    """Reads the events of one stream and passes its frames on."""
+    """Parses the events of one stream and reports its frames."""
 
-    def __init__(self, take: Callable[[Frame], None], clock: Any) -> None:
-        self._take = take
+    def __init__(self, on_frame: Callable[[Frame], None], clock: Any) -> None:
+        self._on_frame = on_frame
         self._clock = clock
         self._buffer = b""
-        self._timer = clock.callLater(STALL_SECONDS, self._stall)
+        self._timer = clock.callLater(STALL_TIMEOUT_SECONDS, self._abort)
         self.ended: Deferred[bool] = Deferred()
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Take in bytes."""
+        """Parse received bytes."""
         if self._timer.active():
-            self._timer.reset(STALL_SECONDS)
+            self._timer.reset(STALL_TIMEOUT_SECONDS)
         self._buffer += data
         *lines, self._buffer = self._buffer.split(b"\n")
         for line in lines:
-            self._take_line(line.strip())
+            self._read_line(line.strip())
         if len(self._buffer) > MAX_LINE_BYTES:
-            self._stall()
+            self._abort()
 
-    def _take_line(self, line: bytes) -> None:
+    def _read_line(self, line: bytes) -> None:
         if not line.startswith(DATA_PREFIX):
             return
         content = line.removeprefix(DATA_PREFIX)
@@ -122,9 +124,9 @@
             return
         frame = read_frame(content)
         if frame is not None:
-            self._take(frame)
+            self._on_frame(frame)
 
-    def _stall(self) -> None:
+    def _abort(self) -> None:
         transport = self.transport
         if transport is not None:
             abort = getattr(transport, "abortConnection", transport.loseConnection)
@@ -132,7 +134,7 @@
         self._end(False)
 
     def connectionLost(self, reason: Failure | None = None) -> None:  # noqa: N802
-        """Tell how the stream ended."""
+        """Report whether the stream ended cleanly."""
         self._end(reason is not None and bool(reason.check(ResponseDone)))
 
     def _end(self, clean: bool) -> None:
@@ -143,7 +145,7 @@
 
 
 def read_frame(content: bytes) -> Frame | None:
-    """Read one event of a stream; one that is not a frame is dropped."""
+    """Parse one event of a stream; return ``None`` if it is not a frame."""
     try:
         event = json.loads(content)
         choice = event["choices"][0]
@@ -161,20 +163,20 @@
 
 
 def _read_backoff(response: Any) -> float:
-    """Return the seconds for which an engine wants no other call, 0 if it says none."""
-    if response.code != FULL:
+    """Return the back-off in seconds that an engine requests, 0 if it requests none."""
+    if response.code != SERVICE_UNAVAILABLE:
         return 0.0
     return read_backoff(response.headers.getRawHeaders(b"retry-after", []))
 
 
 class Engines:
-    """Calls to engines from one instance."""
+    """Makes calls to engines."""
 
     def __init__(self, reactor: Any) -> None:
         self._reactor = reactor
         agent = Agent(
             reactor,
-            pool=make_pool(reactor, MAX_CONNECTIONS),
+            pool=make_connection_pool(reactor, MAX_CONNECTIONS),
             connectTimeout=CONNECT_SECONDS,
         )
         self._http = treq.client.HTTPClient(agent)
@@ -184,14 +186,14 @@
         url: str,
         stream: str,
         completion: Completion,
-        take: Callable[[Frame], None],
+        on_frame: Callable[[Frame], None],
     ) -> bool:
-        """Run a stream and pass its frames on until the connection ends.
+        """Start a stream and report its frames until the connection ends.
 
         :returns: whether the connection ended cleanly
-        :raises NotSentError: if nothing was written
-        :raises RefusedError: if the engine refused before starting
-        :raises MayHaveRunError: if there is no answer to what was written
+        :raises NotSentError: if no byte was written
+        :raises RefusedError: if the engine refused to start the stream
+        :raises MayHaveRunError: if there was no valid response to the request
         """
         body = {
             "model": completion.model,
@@ -211,59 +213,61 @@
                 f"{url}/v1/chat/completions",
                 data=json.dumps(body).encode(),
                 headers=headers,
-                timeout=ACCEPT_SECONDS,
+                timeout=ACCEPT_TIMEOUT_SECONDS,
                 unbuffered=True,
             )
         except (ConnectError, ConnectingCancelledError) as error:
             raise NotSentError(str(error)) from error
         except NETWORK_ERRORS as error:
             raise MayHaveRunError(str(error)) from error
-        return await self._receive(response, take)
+        return await self._receive(response, on_frame)
 
     async def resume(
-        self, url: str, stream: str, offset: int, take: Callable[[Frame], None]
+        self, url: str, stream: str, offset: int, on_frame: Callable[[Frame], None]
     ) -> bool:
-        """Pass on the frames of a stream from an offset on.
+        """Fetch the frames of a stream from an offset on.
 
         :returns: whether the connection ended cleanly
         :raises RefusedError: if the engine does not have the stream
-        :raises MayHaveRunError: if the engine does not answer
+        :raises MayHaveRunError: if the engine does not respond
         """
         try:
             response = await self._http.get(
                 f"{url}/v1/streams/{stream}?offset={offset}",
-                timeout=ACCEPT_SECONDS,
+                timeout=ACCEPT_TIMEOUT_SECONDS,
                 unbuffered=True,
             )
         except NETWORK_ERRORS as error:
             raise MayHaveRunError(str(error)) from error
-        return await self._receive(response, take)
+        return await self._receive(response, on_frame)
 
-    async def _receive(self, response: Any, take: Callable[[Frame], None]) -> bool:
+    async def _receive(self, response: Any, on_frame: Callable[[Frame], None]) -> bool:
         if response.code in CLIENT_ERRORS or response.code in REFUSALS:
             await treq.content(response)
             raise RefusedError(response.code, _read_backoff(response))
         if response.code != OK:
             await treq.content(response)
             raise MayHaveRunError(f"status {response.code}")
-        receiver = FrameReceiver(take, self._reactor)
+        receiver = FrameReceiver(on_frame, self._reactor)
         response.deliverBody(receiver)
         return await receiver.ended
 
-    async def ask(self, url: str, stream: str) -> StreamStatus:
-        """Ask what became of a stream, changing nothing."""
-        return await self._question("GET", f"{url}/v1/streams/{stream}/status")
+    async def query_status(self, url: str, stream: str) -> StreamStatus:
+        """Return the status of a stream without changing it."""
+        return await self._request_status("GET", f"{url}/v1/streams/{stream}/status")
 
     async def cancel(self, url: str, stream: str) -> StreamStatus:
-        """End a stream for good, even one that has not arrived yet.
+        """Cancel a stream permanently, even if it has not arrived yet.
 
-        A stream that had finished before stays finished, and is reported so.
+        A stream that has finished stays finished and is reported as such.
         """
-        return await self._question("POST", f"{url}/v1/streams/{stream}/cancel")
+        return await self._request_status("POST", f"{url}/v1/streams/{stream}/cancel")
 
-    async def _question(self, method: str, url: str) -> StreamStatus:
+    async def _request_status(self, method: str, url: str) -> StreamStatus:
         try:
-            response = await self._http.request(method, url, timeout=QUESTION_SECONDS)
+            response = await self._http.request(
+                method, url, timeout=REQUEST_TIMEOUT_SECONDS
+            )
             content = await treq.json_content(response)
             return StreamStatus(
                 StreamState(content["state"]),
@@ -275,9 +279,11 @@
             return StreamStatus(StreamState.UNREACHABLE)
 
     async def read_load(self, url: str) -> dict[str, Any] | None:
-        """Return an upstream's report of its load, ``None`` if there is no answer."""
+        """Return an upstream's load report, ``None`` if there is no response."""
         try:
-            response = await self._http.get(f"{url}/v1/load", timeout=QUESTION_SECONDS)
+            response = await self._http.get(
+                f"{url}/v1/load", timeout=REQUEST_TIMEOUT_SECONDS
+            )
             content: dict[str, Any] = await treq.json_content(response)
             return content if response.code == OK else None
         except (*NETWORK_ERRORS, ValueError):
--- a/packages/pondquay-daemon/src/pondquay_daemon/errors.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/errors.py
@@ -8,18 +8,18 @@
 
 
 class NotSentError(DaemonError):
-    """No byte of a call was written: it certainly did not run."""
+    """No byte of a call was written, so it cannot have run."""
 
 
 class MayHaveRunError(DaemonError):
-    """A call was written, at least in part, and its outcome is not known."""
+    """A call was written, at least in part, and its outcome is unknown."""
 
 
 class RefusedError(DaemonError):
     """An upstream refused a call before it started.
 
     :param status: the HTTP status of the refusal
-    :param backoff: seconds for which the upstream wants no other call of this instance
+    :param backoff: seconds for which this instance must not call the upstream again
     """
 
     def __init__(self, status: int, backoff: float = 0.0) -> None:
@@ -29,4 +29,4 @@
 
 
 class LinkError(DaemonError):
-    """A peer broke the rules of the link or cannot be reached."""
+    """A peer violated the link protocol or cannot be reached."""
--- a/packages/pondquay-daemon/src/pondquay_daemon/grants.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/grants.py
@@ -1,4 +1,4 @@
-"""The budget task: reserves, settles, and runs the programs of grants."""
+"""The budget task: reserves and settles tokens and runs grant programs."""
 
 from __future__ import annotations
 
@@ -33,22 +33,22 @@
     from pondquay_daemon.peers import PeerTask
     from pondquay_daemon.platform import Platform
 
-ACKNOWLEDGE_SECONDS = 1.0
-FLUSH_CHECK_SECONDS = 0.25
-FLUSH_SECONDS = 2.0
-MAINTAIN_SECONDS = 1.0
-MAX_TRIES = 4
-RECALL_SECONDS = 0.15
-# A request waits no longer than this for the table; tokens that come later stay here.
-REFILL_SECONDS = 0.2
-SETTLE_SECONDS = 2.0
+ACKNOWLEDGE_TIMEOUT_SECONDS = 1.0
+FLUSH_CHECK_INTERVAL_SECONDS = 0.25
+FLUSH_INTERVAL_SECONDS = 2.0
+MAINTAIN_INTERVAL_SECONDS = 1.0
+MAX_RESERVE_ATTEMPTS = 4
+RECALL_WAIT_SECONDS = 0.15
+# Limits how long a request waits for the table; tokens that arrive later are kept.
+REFILL_TIMEOUT_SECONDS = 0.2
+SETTLE_TIMEOUT_SECONDS = 2.0
 
 
 class BudgetRefusal(StrEnum):
     """Why nothing could be reserved.
 
-    ``EXHAUSTED``: the budget cannot bear the request;
-    ``UNREACHABLE``: nothing is at hand and the table does not answer
+    ``EXHAUSTED``: the remaining budget does not cover the request;
+    ``UNREACHABLE``: no tokens are held and the table does not respond
     """
 
     EXHAUSTED = "exhausted"
@@ -56,11 +56,11 @@
 
 
 @dataclass(slots=True)
-class _Waiter:
+class _RefillWaiter:
     """A request that waits for tokens."""
 
     tokens: int
-    fired: Deferred[Refill] = field(default_factory=Deferred)
+    refilled: Deferred[Refill] = field(default_factory=Deferred)
 
 
 class GrantTask(Task):
@@ -84,46 +84,46 @@
         self.manager = GrantManager(self.holder, GRANT_POLICIES.create(policy), peers)
         self.witness = Witness()
         self._lock = DeferredLock()
-        self._waiters: dict[str, list[_Waiter]] = {}
+        self._waiters: dict[str, list[_RefillWaiter]] = {}
         self._acknowledged: dict[AttemptId, Deferred[bool]] = {}
-        self._safe: dict[AttemptId, Deferred[bool]] = {}
-        self._pump_due = False
+        self._recorded: dict[AttemptId, Deferred[bool]] = {}
+        self._send_scheduled = False
         self._refilling = False
         self._stopping = False
         self._list_workspaces: Callable[[], Iterable[str]] = list
         self._flushed_at = 0.0
-        self._doubtful: set[AttemptId] = set()
-        self.unsafe_bills = 0
+        self._unwitnessed: set[AttemptId] = set()
+        self.unrecorded_bills = 0
 
     def start(self, list_workspaces: Callable[[], Iterable[str]]) -> None:
-        """Begin to flush bills and maintain grants.
+        """Start to flush bills and maintain grants.
 
         :param list_workspaces: returns the workspaces that have a budget
         """
         self._list_workspaces = list_workspaces
-        self.repeat(FLUSH_CHECK_SECONDS, self._flush_if_due)
-        self.repeat(MAINTAIN_SECONDS, self._maintain)
+        self.repeat(FLUSH_CHECK_INTERVAL_SECONDS, self._flush_if_due)
+        self.repeat(MAINTAIN_INTERVAL_SECONDS, self._maintain)
 
     # Reserving
 
     async def reserve(
         self, request: RequestName, tokens: int, upstream: str, boot: str
     ) -> Result[Attempt, BudgetRefusal]:
-        """Reserve tokens; what comes back as an attempt may be dispatched.
+        """Reserve tokens for an attempt, which may be dispatched on success.
 
-        :param tokens: the most that the attempt can cost
-        :param boot: the life of the upstream
+        :param tokens: the maximum cost of the attempt
+        :param boot: incarnation of the upstream
         """
         self.manager.demands.note(request.workspace, tokens)
         recalled = False
-        for _ in range(MAX_TRIES):
+        for _ in range(MAX_RESERVE_ATTEMPTS):
             attempt = self.holder.reserve(
                 request, tokens, upstream, self.manager.is_usable, boot
             )
             if attempt is None:
                 refill = await wait_at_most(
-                    self._want(request.workspace, tokens),
-                    REFILL_SECONDS,
+                    self._request_refill(request.workspace, tokens),
+                    REFILL_TIMEOUT_SECONDS,
                     self.clock,
                     Refill.UNREACHABLE,
                 )
@@ -141,47 +141,49 @@
             if await self._acknowledge(attempt):
                 return Success(attempt)
             self.holder.settle(attempt.id, None)
-            self._pump_soon()
+            self._schedule_send()
         return Failure(BudgetRefusal.UNREACHABLE)
 
     async def _acknowledge(self, attempt: Attempt) -> bool:
-        """Wait until the witness knows of an attempt."""
+        """Wait until the witness acknowledges an attempt."""
         waiter: Deferred[bool] = Deferred()
         self._acknowledged[attempt.id] = waiter
-        self._pump_soon()
+        self._schedule_send()
         try:
-            return await wait_at_most(waiter, ACKNOWLEDGE_SECONDS, self.clock, False)
+            return await wait_at_most(
+                waiter, ACKNOWLEDGE_TIMEOUT_SECONDS, self.clock, False
+            )
         finally:
             self._acknowledged.pop(attempt.id, None)
 
-    def _pump_soon(self) -> None:
-        """Send what is unsent once the current turn is over, so it goes as a batch."""
-        if not self._pump_due:
-            self._pump_due = True
-            self.clock.callLater(0, self._pump)
+    def _schedule_send(self) -> None:
+        """Send unsent messages in one batch after the current reactor iteration."""
+        if not self._send_scheduled:
+            self._send_scheduled = True
+            self.clock.callLater(0, self._send_messages)
 
-    def _pump(self) -> None:
-        self._pump_due = False
+    def _send_messages(self) -> None:
+        self._send_scheduled = False
         for witness in self._peers.connected():
             for message in self.holder.take_messages(witness):
                 self._peers.send(witness, message)
 
     # Refilling
 
-    def _want(self, workspace: str, tokens: int) -> Deferred[Refill]:
-        """Ask for tokens; fires with what came of it."""
-        waiter = _Waiter(tokens)
+    def _request_refill(self, workspace: str, tokens: int) -> Deferred[Refill]:
+        """Request tokens; the deferred fires with the result of the refill."""
+        waiter = _RefillWaiter(tokens)
         self._waiters.setdefault(workspace, []).append(waiter)
         if not self._refilling:
             self._refilling = True
             spawn(self._refill(), "GrantTask")
-        return waiter.fired
+        return waiter.refilled
 
     async def _recall(self, workspace: str, tokens: int) -> None:
-        """Ask all peers to give back, and wait a short and bounded time for it."""
+        """Ask all peers to return unspent tokens, and wait ``RECALL_WAIT_SECONDS``."""
         if self._peers.connected():
             self._peers.links.broadcast(Recall(workspace, tokens))
-            await sleep(RECALL_SECONDS, self.clock)
+            await sleep(RECALL_WAIT_SECONDS, self.clock)
 
     async def _handle_recall(self, recall: Recall) -> None:
         async with self._lock:
@@ -196,77 +198,79 @@
             self._refilling = False
 
     async def _refill_once(self) -> None:
-        """Ask for what all waiting requests need, in one transaction."""
+        """Request the tokens for all waiting requests in one transaction."""
         async with self._lock:
             waiting = dict(list(self._waiters.items())[:MAX_ADJUSTMENTS])
             for workspace in waiting:
                 del self._waiters[workspace]
             wanted = {
-                workspace: [one.tokens for one in waiters]
+                workspace: [queued.tokens for queued in waiters]
                 for workspace, waiters in waiting.items()
             }
             results = await self._platform.run(self.manager.refill(wanted))
         for workspace, waiters in waiting.items():
             for waiter in waiters:
-                waiter.fired.callback(results.get(workspace, Refill.UNREACHABLE))
+                waiter.refilled.callback(results.get(workspace, Refill.UNREACHABLE))
 
     # Settling
 
     async def settle(self, attempt: Attempt, billed: int | None) -> int | None:
-        """Note how an attempt ended; returns once its bill is safe.
+        """Settle an attempt and wait until its bill is recorded.
 
-        Safe means at the witness or in the table. With both out of reach the bill
-        stays in this instance's memory alone, which is counted.
+        A bill is recorded once the witness or the table has it. If both are
+        unreachable, it remains only in this instance's memory and is counted in
+        ``unrecorded_bills``.
 
-        :returns: the tokens billed
+        :param billed: the tokens used, ``None`` if nothing is to be billed
+        :returns: the tokens billed, ``None`` if nothing is billed
         """
         if attempt.state is AttemptState.SETTLED:
             return attempt.billed
         charged = self.holder.settle(attempt.id, billed)
-        self._pump_soon()
+        self._schedule_send()
         if billed is None:
             return None
         if billed != charged:
             log_event("usage-over-bound", Level.ERROR, attempt=attempt.id, used=billed)
         waiter: Deferred[bool] = Deferred()
-        self._safe[attempt.id] = waiter
-        if not await wait_at_most(waiter, SETTLE_SECONDS, self.clock, False):
-            self.unsafe_bills += 1
+        self._recorded[attempt.id] = waiter
+        if not await wait_at_most(waiter, SETTLE_TIMEOUT_SECONDS, self.clock, False):
+            self.unrecorded_bills += 1
             log_event("bill-in-one-memory", Level.WARNING, attempt=attempt.id)
-        self._safe.pop(attempt.id, None)
+        self._recorded.pop(attempt.id, None)
         return charged
 
-    def _mark_safe(self, attempts: list[Attempt]) -> None:
+    def _mark_recorded(self, attempts: list[Attempt]) -> None:
         for attempt in attempts:
-            waiter = self._safe.pop(attempt.id, None)
+            waiter = self._recorded.pop(attempt.id, None)
             if waiter is not None:
                 waiter.callback(True)
 
     async def _flush_if_due(self) -> None:
-        """Flush at once what no witness keeps, and all else every few seconds.
+        """Flush soon if a bill has no witness, otherwise at the usual interval.
 
-        What a witness keeps is safe already; flushing it seldom saves table writes.
+        Bills that a witness has are recorded; flushing them rarely saves table writes.
         """
         now = self.clock.seconds()
-        due = now - self._flushed_at >= FLUSH_SECONDS
-        doubtful = self.holder.list_unwitnessed()
-        if due or doubtful & self._doubtful:
+        due = now - self._flushed_at >= FLUSH_INTERVAL_SECONDS
+        unwitnessed = self.holder.list_unwitnessed()
+        if due or unwitnessed & self._unwitnessed:
             self._flushed_at = now
             await self._flush()
-        self._doubtful = doubtful
+        self._unwitnessed = unwitnessed
 
     async def _flush(self) -> None:
-        self._mark_safe(await self._platform.run(self.manager.flush()))
+        self._mark_recorded(await self._platform.run(self.manager.flush()))
         self._send_finished()
 
     def _send_finished(self) -> None:
         for witness, flushed in self.holder.take_finished():
             self._peers.send(witness, flushed)
 
-    # What witnesses answer, and what holders ask
+    # Messages of witnesses and holders
 
     def receive_response(self, message: WitnessMessage) -> None:
-        """Take in a witness's answer."""
+        """Process a witness's response."""
         match message:
             case Acknowledge(grant, seqs):
                 ready = self.holder.acknowledge(grant, seqs)
@@ -274,7 +278,7 @@
             case Refuse(grant):
                 self._fire_acknowledged(self.holder.refuse(grant), False)
             case Settled(grant, seqs):
-                self._mark_safe(self.holder.note_witnessed(grant, seqs))
+                self._mark_recorded(self.holder.note_witnessed(grant, seqs))
                 self._send_finished()
             case SettleRefused(grant, _):
                 self._fire_acknowledged(self.holder.refuse(grant), False)
@@ -286,41 +290,41 @@
                 waiter.callback(may_run)
 
     def receive_call(self, message: HolderMessage | Recall) -> WitnessMessage | None:
-        """Answer a holder, as its witness."""
+        """Respond to a holder as its witness, or to a peer's recall."""
         if isinstance(message, Recall):
             spawn(self._handle_recall(message), "GrantTask")
             return None
         return self.witness.receive(message)
 
     def link_opened(self, peer: InstanceId) -> None:
-        """Send a witness again what it has not answered."""
+        """Resend a witness the messages that it has not acknowledged."""
         self.holder.forget_connection(peer)
-        self._pump_soon()
+        self._schedule_send()
 
     # Maintenance and stopping
 
     async def _maintain(self) -> None:
         self.manager.demands.watch(self._list_workspaces())
-        self.manager.demands.update_rates(MAINTAIN_SECONDS)
+        self.manager.demands.update_rates(MAINTAIN_INTERVAL_SECONDS)
         async with self._lock:
             maintain = self.manager.maintain(rebalance=not self._stopping)
-            self._take_progress(await self._platform.run(maintain))
+            self._apply_maintenance(await self._platform.run(maintain))
 
-    def _take_progress(self, progress: Progress) -> None:
-        self._mark_safe(progress.safe)
+    def _apply_maintenance(self, progress: Progress) -> None:
+        self._mark_recorded(progress.safe)
         self._fire_acknowledged(progress.refused, False)
         for witness, forget in progress.notices:
             self._peers.send(witness, forget)
 
-    async def return_unspent(self, still_running: Callable[[], int]) -> bool:
-        """Close all grants, for a planned stop; ``True`` once all are closed.
+    async def return_unspent(self, count_running: Callable[[], int]) -> bool:
+        """Close all grants for a planned stop; return ``True`` once all are closed.
 
-        :param still_running: tells how many requests have not ended
+        :param count_running: returns the number of requests in progress
         """
         self._stopping = True
-        if still_running() > 0:
+        if count_running() > 0:
             return False
         await self._flush()
         async with self._lock:
-            self._take_progress(await self._platform.run(self.manager.close_all()))
+            self._apply_maintenance(await self._platform.run(self.manager.close_all()))
         return self.manager.empty
--- a/packages/pondquay-daemon/src/pondquay_daemon/links.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/links.py
@@ -1,8 +1,8 @@
 """Links between instances: authenticated streams of length-framed messages.
 
-Each instance dials its peers and sends on the links it dialled; answers come back on
-the same link. Until a peer has proved that it knows the fleet's key, nothing but its
-proof is read, and only frames of a few hundred bytes.
+Each instance dials its peers and sends on the links it dialled; responses arrive on the
+same link. Until a peer has proved that it knows the fleet's key, only handshake
+messages of at most ``MAX_PROOF_BYTES`` are accepted from it.
 """
 
 from __future__ import annotations
@@ -39,40 +39,43 @@
 NONCE_BYTES = 32
 MAX_PROOF_BYTES = 1024
 MAX_UNSENT_BYTES = 4 << 20
-HANDSHAKE_SECONDS = 3.0
-REDIAL_SECONDS = 0.25
+HANDSHAKE_TIMEOUT_SECONDS = 3.0
+REDIAL_INTERVAL_SECONDS = 0.25
 CONNECT_SECONDS = 1.0
 MAX_LINKS = 1024
 
 
 class LinkHandler(ABC):
-    """What a task must offer to be told of links and their messages."""
+    """Receives events and messages of links."""
 
     @abstractmethod
     def link_opened(self, peer: InstanceId, domain: str) -> None:
-        """Learn that a link that we dialled stands."""
+        """Handle a dialled link whose handshake is complete."""
 
     @abstractmethod
     def link_closed(self, peer: InstanceId) -> None:
-        """Learn that a link that we dialled broke."""
+        """Handle the loss of a dialled link."""
 
     @abstractmethod
     def receive_call(self, peer: InstanceId, message: Any) -> Any | None:
-        """Answer a message that a peer sent on the link it dialled."""
+        """Return the response to a message on a link that the peer dialled."""
 
     @abstractmethod
     def receive_response(self, peer: InstanceId, message: Any) -> None:
-        """Take an answer that came back on a link that we dialled."""
+        """Process a response on a dialled link."""
 
 
-def prove(key: bytes, nonce: bytes, role: str, name: str, boot: str) -> bytes:
-    """Return the digest by which one side proves that it knows the fleet's key."""
+def compute_digest(key: bytes, nonce: bytes, role: str, name: str, boot: str) -> bytes:
+    """Return the digest that proves knowledge of the fleet's key.
+
+    :param role: ``proof`` for the dialling side, ``welcome`` for the accepting side
+    """
     text = b"|".join([role.encode(), nonce, name.encode(), boot.encode()])
     return hmac.new(key, text, sha256).digest()
 
 
 class LinkProtocol(Int32StringReceiver):
-    """One link, on either side; after the handshake it passes messages on."""
+    """One side of a link; forwards messages to ``Links`` after the handshake."""
 
     MAX_LENGTH = MAX_PROOF_BYTES
     transport: Any
@@ -84,52 +87,54 @@
         self.domain = ""
         self.nonce = token_bytes(NONCE_BYTES)
         self._timer: Any = None
-        self._unsent_paused = False
+        self._write_paused = False
 
     @property
     def dialled(self) -> bool:
-        """Whether we opened this link."""
+        """Whether this instance opened the link."""
         return self.address is not None
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Begin the handshake."""
-        self.links.begun(self)
+        """Start the handshake."""
+        self.links.add_link(self)
         self.transport.setTcpNoDelay(True)
         self.transport.registerProducer(self, True)
-        self._timer = self.links.clock.callLater(HANDSHAKE_SECONDS, self.cut, "slow")
+        self._timer = self.links.clock.callLater(
+            HANDSHAKE_TIMEOUT_SECONDS, self.abort, "handshake timed out"
+        )
         if not self.dialled:
             self.send(Challenge(self.nonce))
 
     def pauseProducing(self) -> None:  # noqa: N802
-        """Stop reading while the peer does not take our answers."""
-        self._unsent_paused = True
+        """Stop reading while the peer does not read the responses."""
+        self._write_paused = True
         if not self.dialled:
             self.transport.pauseProducing()
 
     def resumeProducing(self) -> None:  # noqa: N802
-        """Read on."""
-        self._unsent_paused = False
+        """Resume reading."""
+        self._write_paused = False
         self.transport.resumeProducing()
 
     def stopProducing(self) -> None:  # noqa: N802
-        """End, as the transport is gone."""
+        """Do nothing: ``connectionLost`` handles the loss of the transport."""
 
     def send(self, message: Any) -> None:
-        """Send a message; a link that takes none for long is cut."""
+        """Send a message; abort the link if too many bytes remain unsent."""
         frame = encode_message(message)
-        if self._unsent_paused and self._unsent_bytes() > MAX_UNSENT_BYTES:
-            self.cut("peer does not read")
+        if self._write_paused and self._unsent_bytes() > MAX_UNSENT_BYTES:
+            self.abort("the peer does not read its messages")
             return
         self.sendString(frame)  # type: ignore[no-untyped-call]
         self.links.sent_messages += 1
         self.links.sent_bytes += len(frame)
 
     def _unsent_bytes(self) -> int:
-        waiting = getattr(self.transport, "_tempDataLen", 0)
-        return int(waiting) + len(getattr(self.transport, "dataBuffer", b""))
+        buffered = getattr(self.transport, "_tempDataLen", 0)
+        return int(buffered) + len(getattr(self.transport, "dataBuffer", b""))
 
     def stringReceived(self, string: bytes) -> None:  # noqa: N802
-        """Take in one frame."""
+        """Decode and handle one frame."""
         try:
             message = decode_message(string)
             if self.peer is None:
@@ -137,47 +142,52 @@
             else:
                 self.links.receive(self, self.peer, message)
         except LinkError as error:
-            self.cut(str(error))
+            self.abort(str(error))
 
     def lengthLimitExceeded(self, length: int) -> None:  # noqa: N802
-        """Cut off a peer whose frame is too long."""
-        self.cut(f"frame of {length} bytes")
+        """Abort the link of a peer whose frame is too long."""
+        self.abort(f"a frame of {length} bytes is too long")
 
     def _receive_handshake(self, message: Any) -> None:
         if self.dialled and isinstance(message, Challenge):
             self.send(self.links.make_proof(message.nonce, self.nonce))
         elif self.dialled and isinstance(message, Welcome):
-            self.links.check(message.digest, self.nonce, "welcome", message)
+            self.links.check_digest(message.digest, self.nonce, "welcome", message)
             self._finish_handshake(message)
         elif not self.dialled and isinstance(message, Proof):
-            self.links.check(message.digest, self.nonce, "proof", message)
+            self.links.check_digest(message.digest, self.nonce, "proof", message)
             self.send(self.links.make_welcome(message.nonce))
             self._finish_handshake(message)
         else:
-            raise LinkError(f"{message.kind} before the handshake")
+            raise LinkError(
+                f"{message.kind} message is not allowed during the handshake"
+            )
 
     def _finish_handshake(self, message: Proof | Welcome) -> None:
         self._timer.cancel()
         self.peer = InstanceId(message.name, message.boot)
         self.domain = message.domain
         self.MAX_LENGTH = MAX_FRAME_BYTES
-        self.links.opened(self)
+        self.links.note_opened(self)
 
-    def cut(self, reason: str) -> None:
-        """End the link at once and count why."""
-        self.links.cut_off += 1
+    def abort(self, reason: str) -> None:
+        """Abort the link, count it and log the reason."""
+        self.links.aborted_links += 1
         log_event("link-cut", Level.WARNING, peer=self.peer or "unknown", reason=reason)
         self.transport.abortConnection()
 
     def connectionLost(self, reason: Failure | None = None) -> None:  # noqa: N802
-        """Tell the task that the link is gone."""
+        """Report the lost link to the task."""
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
-        self.links.closed(self)
+        self.links.note_closed(self)
 
 
 class LinkFactory(Factory):
-    """Builds the accepting side of links."""
+    """Builds the protocols of links.
+
+    :param address: the dialled address, ``None`` on the accepting side
+    """
 
     noisy = False
 
@@ -186,17 +196,17 @@
         self._address = address
 
     def buildProtocol(self, addr: object) -> LinkProtocol | None:  # noqa: N802
-        """Return the protocol of a new link, unless there are too many."""
+        """Return the protocol of a new link, ``None`` if too many are accepted."""
         if self._address is None and self._links.accepted >= MAX_LINKS:
             return None
         return LinkProtocol(self._links, self._address)
 
 
 class Links(Task):
-    """The task that owns all links of an instance.
+    """Task that owns all links of an instance.
 
     :param key: the fleet's key
-    :param handler: the task that is told of messages
+    :param handler: receives events and messages of the links
     """
 
     def __init__(
@@ -213,12 +223,12 @@
         self._domain = domain
         self._key = key
         self._handler = handler
-        self._wanted: set[Address] = set()
+        self._addresses: set[Address] = set()
         self._dialling: set[Address] = set()
         self._dialled: dict[InstanceId, LinkProtocol] = {}
         self._open: set[LinkProtocol] = set()
         self._port: IListeningPort | None = None
-        self.cut_off = 0
+        self.aborted_links = 0
         self.sent_messages = 0
         self.sent_bytes = 0
 
@@ -228,11 +238,11 @@
             self._reactor, address.port, interface=address.host
         )
         self._port = await endpoint.listen(LinkFactory(self))
-        self.repeat(REDIAL_SECONDS, self._redial)
+        self.repeat(REDIAL_INTERVAL_SECONDS, self._redial)
 
     async def close(self) -> None:
-        """Accept nothing more and end all links."""
-        self._wanted.clear()
+        """Stop accepting links and close all of them."""
+        self._addresses.clear()
         for link in list(self._open):
             link.transport.loseConnection()
         if self._port is not None:
@@ -242,16 +252,16 @@
 
     @property
     def accepted(self) -> int:
-        """How many links of others stand."""
+        """Number of open links that peers dialled."""
         return sum(1 for link in self._open if not link.dialled)
 
-    def want(self, addresses: set[Address]) -> None:
-        """Keep links to these addresses, and no others."""
-        self._wanted = set(addresses)
+    def set_addresses(self, addresses: set[Address]) -> None:
+        """Set the addresses to which links are kept open."""
+        self._addresses = set(addresses)
 
     async def _redial(self) -> None:
-        standing = {link.address for link in self._open if link.dialled}
-        for address in self._wanted - standing - self._dialling:
+        connected = {link.address for link in self._open if link.dialled}
+        for address in self._addresses - connected - self._dialling:
             self._dialling.add(address)
             spawn(self._dial(address), "Links")
 
@@ -267,47 +277,47 @@
             self._dialling.discard(address)
 
     def make_proof(self, challenge: bytes, nonce: bytes) -> Proof:
-        """Return our proof for an accepting side."""
+        """Return this instance's proof for the accepting side."""
         name, boot = self._instance.name, self._instance.boot
-        digest = prove(self._key, challenge, "proof", name, boot)
+        digest = compute_digest(self._key, challenge, "proof", name, boot)
         return Proof(name, boot, self._domain, nonce, digest)
 
     def make_welcome(self, challenge: bytes) -> Welcome:
-        """Return our proof for a dialling side."""
+        """Return this instance's proof for the dialling side."""
         name, boot = self._instance.name, self._instance.boot
-        digest = prove(self._key, challenge, "welcome", name, boot)
+        digest = compute_digest(self._key, challenge, "welcome", name, boot)
         return Welcome(name, boot, self._domain, digest)
 
-    def check(
+    def check_digest(
         self, digest: bytes, nonce: bytes, role: str, message: Proof | Welcome
     ) -> None:
-        """Refuse a peer that does not know the fleet's key.
+        """Check that a peer knows the fleet's key.
 
         :raises LinkError: if its digest is wrong
         """
-        expected = prove(self._key, nonce, role, message.name, message.boot)
+        expected = compute_digest(self._key, nonce, role, message.name, message.boot)
         if not hmac.compare_digest(digest, expected):
             raise LinkError("the peer does not know the fleet's key")
 
-    def begun(self, link: LinkProtocol) -> None:
-        """Take in a link whose handshake is to come."""
+    def add_link(self, link: LinkProtocol) -> None:
+        """Add a link before its handshake."""
         self._open.add(link)
 
-    def opened(self, link: LinkProtocol) -> None:
-        """Take in a link whose handshake is done."""
+    def note_opened(self, link: LinkProtocol) -> None:
+        """Report a dialled link whose handshake is complete."""
         if link.dialled and link.peer is not None:
             self._dialled[link.peer] = link
             self._handler.link_opened(link.peer, link.domain)
 
-    def closed(self, link: LinkProtocol) -> None:
-        """Forget a link."""
+    def note_closed(self, link: LinkProtocol) -> None:
+        """Remove a link and report the loss of a dialled one."""
         self._open.discard(link)
         if link.peer is not None and self._dialled.get(link.peer) is link:
             del self._dialled[link.peer]
             self._handler.link_closed(link.peer)
 
     def receive(self, link: LinkProtocol, peer: InstanceId, message: Any) -> None:
-        """Pass a message to the task, and its answer back."""
+        """Forward a message to the handler and send its response back."""
         if link.dialled:
             self._handler.receive_response(peer, message)
             return
@@ -316,15 +326,15 @@
             link.send(response)
 
     def is_connected(self, peer: InstanceId) -> bool:
-        """Tell whether a link that we dialled stands."""
+        """Return whether the dialled link to a peer is open."""
         return peer in self._dialled
 
     def connected(self) -> list[InstanceId]:
-        """Return the peers to which we have a link."""
+        """Return the peers with an open dialled link."""
         return list(self._dialled)
 
     def send(self, peer: InstanceId, message: Any) -> bool:
-        """Send a message to a peer; ``False`` if there is no link to it."""
+        """Send a message to a peer; return ``False`` if there is no link to it."""
         link = self._dialled.get(peer)
         if link is None:
             return False
@@ -332,6 +342,6 @@
         return True
 
     def broadcast(self, message: Any) -> None:
-        """Send a message to all peers."""
+        """Send a message to all connected peers."""
         for link in list(self._dialled.values()):
             link.send(message)
--- a/packages/pondquay-daemon/src/pondquay_daemon/logbudget.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/logbudget.py
@@ -1,4 +1,4 @@
-"""How many log lines a process writes, and how, so that logs never hold it up."""
+"""Rate-limited, non-blocking output of log lines."""
 
 from __future__ import annotations
 
@@ -10,62 +10,67 @@
 if TYPE_CHECKING:
     from typing import TextIO
 
-# Lines a second of one kind of event, and of all events that are alike in whether they
-# tell of a failure. Failures have a budget of their own, so that successes never crowd
-# them out.
-MAX_OF_KIND = 100
-MAX_OF_ALL = 300
-# What waits for a slow reader; beyond it lines are left out.
+# The total applies to failures and to other events separately, so that many successes
+# never suppress a failure.
+MAX_EVENT_LINES_PER_SECOND = 100
+MAX_TOTAL_LINES_PER_SECOND = 300
+# Buffer for a slow reader; lines beyond it are dropped.
 MAX_PENDING_BYTES = 1 << 18
 
 
 class LineBudget:
-    """Decides which lines are written, and counts those that are not."""
+    """Limits the lines per second and counts the suppressed ones.
+
+    :ivar total_suppressed: suppressed lines since start, by event
+    """
 
     def __init__(self) -> None:
         self._second = 0
-        self._kinds: Counter[str] = Counter()
-        self._all: Counter[bool] = Counter()
-        self._left_out: Counter[str] = Counter()
+        self._by_event: Counter[str] = Counter()
+        self._by_failure: Counter[bool] = Counter()
+        self._suppressed: Counter[str] = Counter()
         self.total_suppressed: Counter[str] = Counter()
 
-    def take(self, event: str, now: float, *, failure: bool) -> bool:
-        """Tell whether a line may be written.
+    def acquire(self, event: str, now: float, *, failure: bool) -> bool:
+        """Return whether a line may be written, and count it.
 
-        :param event: the kind of the line
-        :param now: seconds on a steady clock
-        :param failure: whether it tells of a failure
+        :param event: name of the event
+        :param now: seconds on a monotonic clock
+        :param failure: whether the event reports a failure
         """
         if int(now) != self._second:
             self._second = int(now)
-            self._kinds.clear()
-            self._all.clear()
-        within = self._kinds[event] < MAX_OF_KIND and self._all[failure] < MAX_OF_ALL
+            self._by_event.clear()
+            self._by_failure.clear()
+        within = (
+            self._by_event[event] < MAX_EVENT_LINES_PER_SECOND
+            and self._by_failure[failure] < MAX_TOTAL_LINES_PER_SECOND
+        )
         if not within:
-            self.leave_out(event)
+            self.count_suppressed(event)
             return False
-        self._kinds[event] += 1
-        self._all[failure] += 1
+        self._by_event[event] += 1
+        self._by_failure[failure] += 1
         return True
 
-    def leave_out(self, event: str) -> None:
-        """Count a line that is not written."""
-        self._left_out[event] += 1
+    def count_suppressed(self, event: str) -> None:
+        """Count a suppressed line."""
+        self._suppressed[event] += 1
         self.total_suppressed[event] += 1
 
-    def take_left_out(self, now: float) -> dict[str, int]:
-        """Return what earlier seconds left out, by kind, once."""
-        if int(now) == self._second or not self._left_out:
+    def pop_suppressed(self, now: float) -> dict[str, int]:
+        """Return and reset the lines suppressed in earlier seconds, by event."""
+        if int(now) == self._second or not self._suppressed:
             return {}
-        left_out = dict(self._left_out)
-        self._left_out.clear()
-        return left_out
+        suppressed = dict(self._suppressed)
+        self._suppressed.clear()
+        return suppressed
 
 
 class LineOutput:
-    """Writes lines to a stream and never waits for the stream's reader.
+    """Writes lines to a stream without blocking on a pipe or a socket.
 
-    :param stream: a pipe is switched to writes that do not block
+    :param stream: set to non-blocking mode if it is a pipe or a socket
     """
 
     def __init__(self, stream: TextIO) -> None:
@@ -76,7 +81,7 @@
             os.set_blocking(self._pipe, False)
 
     def write(self, line: str) -> bool:
-        """Write a line, or keep it for later; tell whether it was not left out."""
+        """Write or buffer a line; return ``False`` if it is dropped."""
         if self._pipe is None:
             self._stream.write(line)
             self._stream.flush()
@@ -95,14 +100,14 @@
         except BlockingIOError:
             return
         except OSError:
-            # Nobody will ever read what waits.
+            # The reader closed the pipe.
             self._pending.clear()
             return
         del self._pending[:written]
 
 
 def _find_pipe(stream: TextIO) -> int | None:
-    """Return the descriptor of a stream if it is a pipe or a socket."""
+    """Return the file descriptor of a stream that is a pipe or a socket."""
     try:
         descriptor = stream.fileno()
         mode = os.fstat(descriptor).st_mode
--- a/packages/pondquay-daemon/src/pondquay_daemon/logs.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/logs.py
@@ -1,4 +1,4 @@
-"""Logs: one line of key=value pairs an event, through eliot."""
+"""Structured logs through eliot: one line of ``key=value`` pairs for each event."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
     from collections.abc import Callable, Mapping
 
 UNKNOWN = "unknown"
-HIDDEN = ("task_uuid", "task_level", "timestamp", "message_type", "level")
+HIDDEN_FIELDS = ("task_uuid", "task_level", "timestamp", "message_type", "level")
 
 
 class Level(IntEnum):
-    """How much an event matters."""
+    """Severity of an event."""
 
     DEBUG = 10
     INFO = 20
@@ -29,34 +29,36 @@
 
 
 def log_event(event: str, level: Level = Level.INFO, **fields: object) -> None:
-    """Log one event. Payloads and secrets are never among the fields."""
+    """Log one event; the fields must not contain payloads or secrets."""
     log_message(message_type=event, level=int(level), **fields)
 
 
 def format_event(message: Mapping[str, Any]) -> str:
-    """Return an event as one line."""
+    """Format an event as one line."""
     level = Level(message.get("level", Level.INFO)).name.lower()
-    parts = [
+    pairs = [
         f"time={message.get('timestamp', 0):.3f}",
         f"level={level}",
         f"event={message.get('message_type', UNKNOWN)}",
     ]
-    parts += [
-        f"{key}={_quote(value)}" for key, value in message.items() if key not in HIDDEN
+    pairs += [
+        f"{key}={_quote(value)}"
+        for key, value in message.items()
+        if key not in HIDDEN_FIELDS
     ]
-    return " ".join(parts)
+    return " ".join(pairs)
 
 
 def _quote(value: object) -> str:
     text = str(value)
-    plain = text and not any(one in text for one in ' "=\n\r\t')
+    plain = text and not any(character in text for character in ' "=\n\r\t')
     return text if plain else json.dumps(text)
 
 
 class LineWriter:
     """Writes events at or above a level to a stream, within a budget of lines.
 
-    :param clock: tells steady seconds
+    :param clock: returns the seconds of a monotonic clock
     """
 
     def __init__(
@@ -68,26 +70,26 @@
         self.budget = LineBudget()
 
     def __call__(self, message: dict[str, Any]) -> None:
-        """Write one event, after a count of those that were left out."""
+        """Write one event, preceded by the counts of suppressed ones."""
         level = message.get("level", Level.INFO)
         if level < self._level:
             return
         now = self._clock()
-        for event, count in self.budget.take_left_out(now).items():
-            self._write(_describe_left_out(message, event, count))
+        for event, count in self.budget.pop_suppressed(now).items():
+            self._write(_describe_suppressed(message, event, count))
         event = message.get("message_type", UNKNOWN)
-        if self.budget.take(event, now, failure=level >= Level.WARNING):
+        if self.budget.acquire(event, now, failure=level >= Level.WARNING):
             self._write(message)
 
     def _write(self, message: Mapping[str, Any]) -> None:
         if not self._output.write(format_event(message) + "\n"):
-            self.budget.leave_out(message.get("message_type", UNKNOWN))
+            self.budget.count_suppressed(message.get("message_type", UNKNOWN))
 
 
-def _describe_left_out(
+def _describe_suppressed(
     message: Mapping[str, Any], event: str, count: int
 ) -> dict[str, Any]:
-    """Return the event that tells how many lines of a kind were left out."""
+    """Return the event that reports the number of suppressed lines of an event."""
     return {
         "timestamp": message.get("timestamp", 0),
         "message_type": "lines-left-out",
@@ -98,10 +100,10 @@
 
 
 def start_logs(level: str, stream: TextIO | None = None) -> LineBudget:
-    """Send all events from now on to a stream.
+    """Start to write events at or above a level to a stream.
 
-    :param stream: standard output if none is given
-    :returns: the budget of lines, which counts what is left out
+    :param stream: where to write, by default standard output
+    :returns: the budget of lines, which counts suppressed lines
     """
     writer = LineWriter(Level[level.upper()], stream or sys.stdout)
     add_destinations(writer)
--- a/packages/pondquay-daemon/src/pondquay_daemon/metrics.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics, by the usual conventions; labels take values from bounded sets only."""
+"""Prometheus metrics of an instance; labels take values from bounded sets only."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
         self.peer_bytes = self._gauge("peer_bytes", "Bytes sent to peers since start")
         self.peer_messages = self._gauge("peer_messages", "Messages sent since start")
         self.links_cut = self._gauge("links_cut", "Links cut off since start")
-        self.unsafe_bills = self._gauge(
+        self.unrecorded_bills = self._gauge(
             "bills_in_one_memory", "Answers that left before their bill was safe"
         )
         self.held_tokens = self._gauge("held_tokens", "Tokens in grants held here")
@@ -65,6 +65,6 @@
         return Gauge(f"pondquay_{name}", text, registry=self.registry)
 
     def next_number(self) -> int:
-        """Return a number that this instance has not used since it started."""
+        """Return a number that is unique since the start of this instance."""
         self._number += 1
         return self._number
--- a/packages/pondquay-daemon/src/pondquay_daemon/peers.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/peers.py
@@ -1,4 +1,4 @@
-"""The peer task: heartbeats, and the questions that instances ask each other."""
+"""The peer task: heartbeats and queries between instances."""
 
 from __future__ import annotations
 
@@ -27,55 +27,55 @@
 
 HEARTBEAT_SECONDS = 0.5
 RESPONSE_SECONDS = 0.5
-GIVE_UP_SECONDS = 30.0
+FORGET_AFTER_SECONDS = 30.0
 
 
 class PeerListener(ABC):
-    """What the rest of the instance offers to its peers."""
+    """Handles the calls and responses of peers."""
 
     @abstractmethod
     def describe(self) -> Heartbeat:
-        """Return our own heartbeat."""
+        """Return this instance's heartbeat."""
 
     @abstractmethod
     def receive_peer(self, heartbeat: Heartbeat) -> None:
-        """Take in what a peer said of itself."""
+        """Process a peer's heartbeat."""
 
     @abstractmethod
-    def find_request(self, peer: InstanceId, question: FindRequest) -> FoundRequest:
-        """Look for a running attempt of a request, for a peer."""
+    def find_request(self, peer: InstanceId, query: FindRequest) -> FoundRequest:
+        """Look up a running attempt of a request for a peer."""
 
     @abstractmethod
     def list_deltas(self, base: int) -> Deltas:
-        """Return the versions of the configuration after a base."""
+        """Return the configuration versions after a base version."""
 
     @abstractmethod
     def receive_budget_call(self, message: Any) -> Any | None:
-        """Answer the holder of a grant."""
+        """Return the response to the holder of a grant."""
 
     @abstractmethod
     def receive_budget_response(self, message: Any) -> None:
-        """Take in the answer of a witness."""
+        """Process the response of a witness."""
 
     @abstractmethod
     def receive_deltas(self, message: Deltas) -> None:
-        """Take in versions of the configuration."""
+        """Apply configuration versions that a peer sent."""
 
     @abstractmethod
     def link_opened(self, peer: InstanceId) -> None:
-        """Learn that a peer can be reached."""
+        """Handle a new link to a peer."""
 
 
 @dataclass(frozen=True, slots=True)
-class _Question:
-    """A question that a peer has not answered yet."""
+class _PendingQuery:
+    """A query without a response yet."""
 
     peer: InstanceId
     waiter: Deferred[FoundRequest | None]
 
 
 class PeerTask(Task, LinkHandler, WitnessDirectory):
-    """Owns the links and what is known of the peers behind them."""
+    """Owns the links and the table of known peers."""
 
     def __init__(
         self, reactor: Any, instance: InstanceId, domain: str, key: bytes
@@ -86,127 +86,133 @@
         self.table = Peers(domain)
         self.links = Links(reactor, instance, domain, key, self)
         self._listener: PeerListener | None = None
-        self._questions: dict[int, _Question] = {}
-        self._next_question = 0
+        self._queries: dict[int, _PendingQuery] = {}
+        self._next_query = 0
 
     async def start(self, address: Address, listener: PeerListener) -> None:
-        """Accept links, and tell peers of us from now on."""
+        """Start to accept links and to send heartbeats."""
         self._listener = listener
         await self.links.listen(address)
-        self.repeat(HEARTBEAT_SECONDS, self._beat)
+        self.repeat(HEARTBEAT_SECONDS, self._send_heartbeat)
 
     async def stop(self) -> None:
-        """Leave the fleet."""
+        """Close all links and stop the task's loops."""
         with self.links:
             await self.links.close()
 
     @property
     def listener(self) -> PeerListener:
-        """The rest of the instance."""
+        """The handler of peers' calls, available after the start."""
         assert self._listener is not None
         return self._listener
 
-    async def _beat(self) -> None:
+    async def _send_heartbeat(self) -> None:
         self.links.broadcast(self.listener.describe())
         now = self.clock.seconds()
         for instance in self.table.suspects(now):
-            if now - self.table.known[instance].last_seen_at > GIVE_UP_SECONDS:
+            if now - self.table.known[instance].last_seen_at > FORGET_AFTER_SECONDS:
                 self.table.forget(instance)
 
     def now(self) -> float:
-        """Return the time that peers are judged by."""
+        """Return the time against which peers' heartbeats are compared, in seconds."""
         return self.clock.seconds()
 
     def connected(self) -> list[InstanceId]:
-        """Return peers to which a link stands."""
+        """Return the peers with an open link."""
         return self.links.connected()
 
     def count(self) -> int:
-        """Return how many peers are believed to be alive."""
+        """Return the number of peers with an open link."""
         return len(self.links.connected())
 
     def witnesses(self) -> list[InstanceId]:
         """Return peers that can witness a grant."""
         return [
-            one
-            for one in self.table.witnesses(self.now())
-            if self.links.is_connected(one)
+            peer
+            for peer in self.table.witnesses(self.now())
+            if self.links.is_connected(peer)
         ]
 
     def is_usable(self, peer: InstanceId) -> bool:
-        """Tell whether a peer can be expected to answer now."""
+        """Return whether a peer is expected to respond now."""
         if not self.links.is_connected(peer):
             return False
         return self.table.is_usable(peer, self.now())
 
     def is_gone(self, peer: InstanceId) -> bool:
-        """Tell whether a peer has been silent for so long that others replace it."""
+        """Return whether a peer is unknown or suspected of having crashed."""
         known = self.table.known.get(peer)
         return known is None or peer in self.table.suspects(self.now())
 
     def send(self, peer: InstanceId, message: Any) -> bool:
-        """Send a message to a peer, if there is a link to it."""
+        """Send a message to a peer; return ``False`` if there is no link to it."""
         return self.links.send(peer, message)
 
     def announce(self) -> None:
-        """Tell all peers of us at once."""
+        """Send a heartbeat to all peers immediately."""
         self.links.broadcast(self.listener.describe())
 
     async def find_request(
         self, request: RequestName
     ) -> list[tuple[InstanceId, FoundRequest]]:
-        """Ask the peers of the own domain for a running attempt of a request."""
-        asked = [
+        """Ask the peers of the same domain for a running attempt of a request.
+
+        :returns: the peers that know an attempt or its live holder
+        """
+        recipients = [
             peer
             for peer in self.connected()
             if self.is_usable(peer) and self.table.known[peer].domain == self._domain
         ]
         waiters: list[tuple[InstanceId, int, Deferred[FoundRequest | None]]] = []
-        for peer in asked:
-            self._next_question += 1
-            number = self._next_question
+        for peer in recipients:
+            self._next_query += 1
+            number = self._next_query
             waiter: Deferred[FoundRequest | None] = Deferred()
-            self._questions[number] = _Question(peer, waiter)
+            self._queries[number] = _PendingQuery(peer, waiter)
             self.send(peer, FindRequest(number, request))
             waiters.append((peer, number, waiter))
         found = []
         for peer, number, waiter in waiters:
             response = await wait_at_most(waiter, RESPONSE_SECONDS, self.clock, None)
-            self._questions.pop(number, None)
+            self._queries.pop(number, None)
             if response is None:
                 continue
             if response.attempt is not None or response.holder_alive:
                 found.append((peer, response))
         return found
 
-    def ask_deltas(self, base: int) -> bool:
-        """Ask the peer with the newest configuration for what we lack."""
+    def request_deltas(self, base: int) -> bool:
+        """Request the versions after a base from the peer with the newest version.
+
+        :returns: whether a request was sent
+        """
         newest = self.table.newest_version()
         for instance, peer in self.table.known.items():
             if peer.version == newest and newest > base:
                 return self.send(instance, FetchDeltas(base))
         return False
 
-    # What links tell
+    # Events and messages of links
 
     def link_opened(self, peer: InstanceId, domain: str) -> None:
-        """Greet a peer on a new link."""
+        """Send a heartbeat on a new link."""
         log_event("peer-connected", peer=peer, domain=domain)
         self.table.receive(Heartbeat(peer, domain, 0, False), self.now())
         self.links.send(peer, self.listener.describe())
         self.listener.link_opened(peer)
 
     def link_closed(self, peer: InstanceId) -> None:
-        """Note that a peer cannot be reached."""
+        """Mark a peer as disconnected and end its pending queries."""
         log_event("peer-disconnected", peer=peer)
         self.table.disconnect(peer)
-        for number, question in list(self._questions.items()):
-            if question.peer == peer:
-                del self._questions[number]
-                question.waiter.callback(None)
+        for number, query in list(self._queries.items()):
+            if query.peer == peer:
+                del self._queries[number]
+                query.waiter.callback(None)
 
     def receive_call(self, peer: InstanceId, message: Any) -> Any | None:
-        """Answer a peer."""
+        """Return the response to a peer's message."""
         match message:
             case Heartbeat():
                 self.table.receive(message, self.now())
@@ -220,12 +226,12 @@
                 return self.listener.receive_budget_call(message)
 
     def receive_response(self, peer: InstanceId, message: Any) -> None:
-        """Take in a peer's answer."""
+        """Process a peer's response."""
         match message:
             case FoundRequest(number):
-                question = self._questions.pop(number, None)
-                if question is not None:
-                    question.waiter.callback(message)
+                query = self._queries.pop(number, None)
+                if query is not None:
+                    query.waiter.callback(message)
             case Deltas():
                 self.listener.receive_deltas(message)
             case _:
--- a/packages/pondquay-daemon/src/pondquay_daemon/platform.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/platform.py
@@ -1,4 +1,4 @@
-"""The client of the platform: its table service, object store and instance list."""
+"""Client of the platform's table service, object store and instance list."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 CONNECT_SECONDS = 1.0
 OK = 200
 CONFLICT = 409
-TOO_MANY = 429
+TOO_MANY_REQUESTS = 429
 MAX_CONNECTIONS = 8
 
 NETWORK_ERRORS = (
@@ -63,7 +63,7 @@
 
 
 class ListedInstance(BaseModel):
-    """An entry of the platform's list, for entry instances and upstreams alike.
+    """An entry instance or upstream in the platform's list.
 
     :param role: ``entry``, ``engine`` or ``service``
     :param state: ``live`` or ``leaving``
@@ -80,24 +80,30 @@
     state: str = "live"
 
 
-_LIST: TypeAdapter[list[ListedInstance]] = TypeAdapter(list[ListedInstance])
-_ROW: TypeAdapter[list[Row]] = TypeAdapter(list[Row])
+_INSTANCES_ADAPTER: TypeAdapter[list[ListedInstance]] = TypeAdapter(
+    list[ListedInstance]
+)
+_ROWS_ADAPTER: TypeAdapter[list[Row]] = TypeAdapter(list[Row])
 
 
-def make_pool(reactor: Any, most: int = MAX_CONNECTIONS) -> HTTPConnectionPool:
-    """Return a connection pool that never sends a request twice by itself."""
+def make_connection_pool(
+    reactor: Any, max_connections: int = MAX_CONNECTIONS
+) -> HTTPConnectionPool:
+    """Return a connection pool that doesn't retry requests."""
     pool = HTTPConnectionPool(reactor, persistent=True)
-    pool.maxPersistentPerHost = most
+    pool.maxPersistentPerHost = max_connections
     pool.retryAutomatically = False
     return pool
 
 
 class Platform:
-    """Calls to the platform from one instance.
+    """Makes calls to the platform.
 
-    :param url: where the platform answers
-    :param domain: the own failure domain
-    :param timeout: seconds after which an answer counts as lost
+    :param url: base URL of the platform
+    :param domain: failure domain of this instance
+    :param timeout: seconds after which a call without a response fails
+    :ivar reads: table reads since start
+    :ivar writes: table writes since start
     """
 
     def __init__(self, reactor: Any, url: str, domain: str, timeout: float) -> None:
@@ -108,7 +114,9 @@
             "Content-Type": "application/json",
         }
         self._timeout = timeout
-        agent = Agent(reactor, pool=make_pool(reactor), connectTimeout=CONNECT_SECONDS)
+        agent = Agent(
+            reactor, pool=make_connection_pool(reactor), connectTimeout=CONNECT_SECONDS
+        )
         self._http = treq.client.HTTPClient(agent)
         self.reachable = False
         self.reads = 0
@@ -137,7 +145,7 @@
             status, content = await self._post("/table/read", body)
             if status != OK:
                 raise ValueError(f"status {status}")
-            rows = _ROW.validate_python(content["rows"])
+            rows = _ROWS_ADAPTER.validate_python(content["rows"])
         except (*NETWORK_ERRORS, ValueError) as error:
             self._note_reachable(False, error)
             return Unreachable()
@@ -148,8 +156,8 @@
         self.writes += 1
         body = {
             "name": call.name,
-            "conditions": [_dump_condition(one) for one in call.conditions],
-            "writes": [_dump_write(one) for one in call.writes],
+            "conditions": [_dump_condition(condition) for condition in call.conditions],
+            "writes": [_dump_write(write) for write in call.writes],
         }
         try:
             status, _ = await self._post("/table/transact", body)
@@ -164,18 +172,18 @@
             return Committed()
         if status == CONFLICT:
             return Conflict()
-        return Unreachable() if status == TOO_MANY else Lost()
+        return Unreachable() if status == TOO_MANY_REQUESTS else Lost()
 
     async def list_instances(self) -> list[ListedInstance] | None:
-        """Return the platform's lagging list, ``None`` if it cannot be had."""
+        """Return the platform's list, which may lag, ``None`` if it is unavailable."""
         try:
             status, content = await self._get("/instances")
-            return _LIST.validate_python(content) if status == OK else None
+            return _INSTANCES_ADAPTER.validate_python(content) if status == OK else None
         except (*NETWORK_ERRORS, ValueError):
             return None
 
     async def load_object(self, key: str) -> bytes | None:
-        """Return an object, ``None`` if it is missing or cannot be had."""
+        """Return an object, ``None`` if it is missing or unavailable."""
         try:
             response = await self._http.get(
                 f"{self._url}/objects/{key}",
@@ -188,7 +196,7 @@
         return content if response.code == OK else None
 
     async def store_object(self, key: str, content: bytes) -> bool:
-        """Store an object; storing the same again does no harm."""
+        """Store an object; return whether it was stored. The call is idempotent."""
         try:
             response = await self._http.put(
                 f"{self._url}/objects/{key}",
--- a/packages/pondquay-daemon/src/pondquay_daemon/progress.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/progress.py
@@ -1,4 +1,4 @@
-"""One request on its way, and the refusals that it can end in."""
+"""The progress of one request, and the refusals in which it can end."""
 
 from __future__ import annotations
 
@@ -20,10 +20,11 @@
 
 @dataclass(slots=True)
 class Progress:
-    """One request on its way.
+    """Progress of one request.
 
-    :param nonce: of the claim, empty if there is none
-    :param failed: upstreams that already failed it
+    :param nonce: nonce of the request's claim, empty if there is none
+    :param failed: names of upstreams that failed to serve the request
+    :param attempts: number of attempts that failed
     """
 
     call: Call
@@ -35,20 +36,20 @@
     def refusal(
         self, code: RefusalCode, message: str, retry_after: int | None = None
     ) -> Refusal:
-        """Return a refusal that says what is known of the request."""
+        """Return a refusal with the request's outcome as far as it is known."""
         return Refusal(code, message, self.life.outcome(), retry_after)
 
 
 @dataclass(slots=True)
-class Started:
-    """An attempt that may be dispatched."""
+class StartedAttempt:
+    """An attempt with a placement and reserved tokens, ready to be dispatched."""
 
     placement: Placement
     attempt: Attempt
 
 
 def refuse_budget(progress: Progress, reason: BudgetRefusal) -> Refusal:
-    """Return the refusal of a request for which nothing could be reserved."""
+    """Return the refusal of a request for which no tokens could be reserved."""
     if reason is BudgetRefusal.EXHAUSTED:
         return progress.refusal(
             RefusalCode.BUDGET_EXHAUSTED, "the prepaid budget cannot bear the request"
--- a/packages/pondquay-daemon/src/pondquay_daemon/ratelimits.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/ratelimits.py
@@ -1,4 +1,4 @@
-"""How many requests a second an upstream takes, as its answers say."""
+"""Parses the rate limit that an upstream's response names."""
 
 from __future__ import annotations
 
@@ -8,14 +8,15 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-# A decimal number without sign or exponent.
+# Matches a decimal number without sign or exponent.
 RATE_FORM = re.compile(rb"[0-9]{1,15}(\.[0-9]{0,15})?|\.[0-9]{1,15}")
 
 
 def read_rate_limit(values: Iterable[bytes]) -> float | None:
-    """Return the lowest of the limits that stand in an answer, in requests a second.
+    """Return the lowest rate limit of a response, in requests per second.
 
-    :returns: ``None`` if there is none, or none that is a decimal number
+    :param values: values of the response's rate limit headers
+    :returns: ``None`` if no value is a decimal number
     """
     return min(
         (
--- a/packages/pondquay-daemon/src/pondquay_daemon/recovery.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/recovery.py
@@ -1,4 +1,4 @@
-"""The recovery task: what dead peers left behind, and attempts lost sight of."""
+"""The recovery task: grants of dead peers and attempts with an unknown outcome."""
 
 from __future__ import annotations
 
@@ -44,20 +44,23 @@
     from pondquay_daemon.platform import Platform
     from pondquay_daemon.upstreams import Upstreams
 
-SWEEP_SECONDS = 0.5
-SEARCH_SECONDS = 5.0
-FOLD_SECONDS = 2.0
-ORPHAN_SECONDS = 5.0
+SWEEP_INTERVAL_SECONDS = 0.5
+SEARCH_INTERVAL_SECONDS = 5.0
+FOLD_INTERVAL_SECONDS = 2.0
+ORPHAN_INTERVAL_SECONDS = 5.0
 FOLD = "fold"
 MAX_FOLDS = 20
-REPORT_SECONDS = 2.0
+REPORT_TIMEOUT_SECONDS = 2.0
 RETRY_SECONDS = 1
 MAX_RESUMES = 3
 
 
 @dataclass(frozen=True, slots=True)
-class _Found:
-    """A running attempt that a dead peer left, and the witness that knows of it."""
+class _FoundAttempt:
+    """An attempt of a dead peer.
+
+    :param witness: the peer that witnesses the attempt, ``None`` for this instance
+    """
 
     witness: InstanceId | None
     attempt: AttemptId
@@ -66,7 +69,7 @@
 
 
 class Recovery(Task):
-    """Seals the grants of dead peers, resolves what they left, and folds bills."""
+    """Seals grants of dead peers, resolves their attempts, and folds bills."""
 
     def __init__(
         self,
@@ -86,24 +89,24 @@
         self._upstreams = upstreams
         self._engines = engines
         self.succession = Succession(instance, grants.witness, peers)
-        self._lost: dict[AttemptId, tuple[Attempt, str]] = {}
+        self._unresolved: dict[AttemptId, tuple[Attempt, str]] = {}
         self._reports: dict[AttemptId, Deferred[bool]] = {}
         self._segment = 0
         self._searched: dict[InstanceId, float] = {}
         self._fold_lease = Lease(FOLD, str(instance))
 
     def start(self) -> None:
-        """Look after what others left from now on."""
-        self.repeat(SWEEP_SECONDS, self._sweep)
-        self.repeat(FOLD_SECONDS, self._fold)
-        self.repeat(ORPHAN_SECONDS, self._adopt_orphans)
+        """Start to sweep, to fold bills and to adopt orphans."""
+        self.repeat(SWEEP_INTERVAL_SECONDS, self._sweep)
+        self.repeat(FOLD_INTERVAL_SECONDS, self._fold)
+        self.repeat(ORPHAN_INTERVAL_SECONDS, self._adopt_orphans)
 
     @property
     def _witness(self) -> Witness:
         return self._grants.witness
 
     async def _fold(self) -> None:
-        """Fold bills, if the lease says that this instance does it for all."""
+        """Fold bills if this instance holds the lease for doing so."""
         await self._platform.run(self._fold_lease.renew(self.clock.seconds()))
         if not self._fold_lease.held:
             return
@@ -112,60 +115,70 @@
             if isinstance(folded, Unreachable) or folded.segments == 0:
                 return
 
-    # Own attempts lost sight of
+    # Attempts of this instance with an unknown outcome
 
-    def watch(self, attempt: Attempt, upstream: str) -> None:
-        """Keep asking for the end of an attempt that may have run."""
-        self._lost[attempt.id] = (attempt, upstream)
+    def track_unresolved(self, attempt: Attempt, upstream: str) -> None:
+        """Query the outcome of an attempt that may have run until it is known."""
+        self._unresolved[attempt.id] = (attempt, upstream)
 
-    async def _ask_lost(self) -> None:
-        for attempt, name in list(self._lost.values()):
+    async def _query_unresolved(self) -> None:
+        for attempt, name in list(self._unresolved.values()):
             upstream = self._upstreams.known.get(name)
             if upstream is None:
                 continue
             response = await self._engines.cancel(upstream.url, attempt.stream)
-            status = response.seen_from(attempt.boot)
+            status = response.for_boot(attempt.boot)
             if status.state is StreamState.FINISHED:
                 await self._grants.settle(attempt, status.tokens)
             elif status.state is StreamState.CANCELLED:
                 await self._grants.settle(attempt, None)
             else:
                 continue
-            self._lost.pop(attempt.id, None)
+            self._unresolved.pop(attempt.id, None)
 
     # Grants of dead peers
 
     async def _sweep(self) -> None:
-        await self._ask_lost()
+        await self._query_unresolved()
         for grant in self.succession.seal_unresponsive():
             log_event("grant-sealed", grant=grant)
-        await self._search_unheard()
+        await self._search_unknown_grants()
         for sealed in list(self.succession.sealed.values()):
             known = self._witness.grants.get(sealed.id)
             if known is not None and sealed.closed:
-                await self._ask_open(known)
+                await self._query_open_attempts(known)
             await self._platform.run(self.succession.close_sealed(sealed))
 
-    async def _search_unheard(self) -> None:
-        """Look in the table for grants of silent holders that name us as witness."""
+    async def _search_unknown_grants(self) -> None:
+        """Seal grants of suspected holders that name this instance as their witness.
+
+        They are found in the table, as their holders may never have contacted it.
+        """
         now = self._peers.now()
         suspects = self._peers.table.suspects(now)
         self._searched = {
-            one: at for one, at in self._searched.items() if one in suspects
+            suspect: searched_at
+            for suspect, searched_at in self._searched.items()
+            if suspect in suspects
         }
         for holder in suspects:
-            if now - self._searched.get(holder, -SEARCH_SECONDS) < SEARCH_SECONDS:
+            if (
+                now - self._searched.get(holder, -SEARCH_INTERVAL_SECONDS)
+                < SEARCH_INTERVAL_SECONDS
+            ):
                 continue
             self._searched[holder] = now
             await self._platform.run(self.succession.seal_unheard(holder))
 
-    async def _ask_open(self, grant: WitnessedGrant) -> None:
-        """Ask engines what became of attempts whose holder is dead."""
+    async def _query_open_attempts(self, grant: WitnessedGrant) -> None:
+        """Query engines for the outcome of a dead holder's open attempts."""
         for seq, intent in list(grant.open.items()):
             upstream = self._upstreams.known.get(intent.upstream)
             if upstream is None or upstream.kind != ENGINE:
                 continue
-            status = await self._ask_end(upstream.url, intent.stream, intent.boot)
+            status = await self._query_final_status(
+                upstream.url, intent.stream, intent.boot
+            )
             attempt = AttemptId(grant.id, seq)
             if status.state is StreamState.FINISHED:
                 billed = min(status.tokens, intent.reserve)
@@ -173,44 +186,48 @@
             elif status.state is StreamState.CANCELLED:
                 self._witness.resolve(attempt, intent.request, None)
 
-    async def _ask_end(self, url: str, stream: str, boot: str) -> StreamStatus:
-        """Ask for the end of a stream; one that never arrived is cancelled for good.
+    async def _query_final_status(
+        self, url: str, stream: str, boot: str
+    ) -> StreamStatus:
+        """Return the status of a stream, and cancel it if it never arrived.
 
-        A stream that runs is left alone: its caller may still ask for its answer.
+        A running stream isn't cancelled, since its caller may retry for its response.
         """
-        status = await self._engines.ask(url, stream)
+        status = await self._engines.query_status(url, stream)
         if status.state is StreamState.UNKNOWN and status.boot == boot:
             status = await self._engines.cancel(url, stream)
-        return status.seen_from(boot)
+        return status.for_boot(boot)
 
-    # Grants that nobody looks after
+    # Attempts left in sealed grants
 
     async def _adopt_orphans(self) -> None:
-        """Resolve what stands in rows of closed grants whose holders are gone.
+        """Resolve the attempts in sealed grants whose holders are dead.
 
-        That is an attempt that ran on while its holder closed the grant, as its witness
-        was gone, before the holder died as well.
+        Such attempts were running when their holder sealed the grant because its
+        witness was missing, and had not ended when the holder died.
         """
         if not self._fold_lease.held:
             return
         grants = await self._platform.run(list_grants())
         if isinstance(grants, Unreachable):
             return
-        for standing in grants:
-            sealed = standing.row.state is GrantState.SEALED
-            holder = standing.grant.holder
+        for stored in grants:
+            sealed = stored.row.state is GrantState.SEALED
+            holder = stored.grant.holder
             if sealed and holder != self._instance and self._peers.is_gone(holder):
-                await self._resolve_orphan(standing)
+                await self._resolve_orphan(stored)
 
-    async def _resolve_orphan(self, standing: StandingGrant) -> None:
+    async def _resolve_orphan(self, stored: StandingGrant) -> None:
         resolutions = []
         bills = []
-        for number, held in standing.row.held.items():
+        for number, held in stored.row.held.items():
             upstream = self._upstreams.known.get(held.upstream)
             if upstream is None or upstream.kind != ENGINE:
                 continue
-            status = await self._ask_end(upstream.url, held.stream, held.boot)
-            attempt = AttemptId(standing.grant, int(number))
+            status = await self._query_final_status(
+                upstream.url, held.stream, held.boot
+            )
+            attempt = AttemptId(stored.grant, int(number))
             if status.state is StreamState.FINISHED:
                 tokens = min(status.tokens, held.reserve)
                 resolutions.append(Resolution(attempt.seq, tokens))
@@ -221,25 +238,29 @@
         if resolutions:
             self._segment += 1
             segment = segment_key(f"{self._instance}-orphans", self._segment)
-            workspace = standing.row.workspace
+            workspace = stored.row.workspace
             await self._platform.run(
-                resolve_held(workspace, standing.grant, resolutions, bills, segment)
+                resolve_held(workspace, stored.grant, resolutions, bills, segment)
             )
 
-    # Callers that ask again after their instance died
+    # Retries of callers whose instance died
 
-    def answer_question(
-        self, question: FindRequest, found: FoundRequest, running: bool
+    def fill_response(
+        self, query: FindRequest, response: FoundRequest, running: bool
     ) -> FoundRequest:
-        """Fill in the answer to a peer that looks for a request."""
+        """Return the response to a peer's query for a request.
+
+        :param response: an empty response
+        :param running: whether this instance runs the request
+        """
         if running:
-            return replace(found, holder_alive=True)
-        attempts = self._witness.find_request(question.request)
+            return replace(response, holder_alive=True)
+        attempts = self._witness.find_request(query.request)
         if not attempts:
-            return found
+            return response
         newest = attempts[-1]
         return replace(
-            found,
+            response,
             attempt=AttemptId(newest.grant, newest.intent.seq),
             upstream=newest.intent.upstream,
             stream=newest.intent.stream,
@@ -250,9 +271,9 @@
     async def take_over(
         self, call: CompletionCall, sink: FrameSink
     ) -> CachedResponse | Refusal | None:
-        """Pass on the answer of an attempt whose instance died.
+        """Forward the response of an attempt whose instance died.
 
-        :returns: ``None`` if there is no such attempt, or it turned out not to run
+        :returns: ``None`` if the request is to run at this instance
         """
         found = await self._find_attempt(call.request)
         if isinstance(found, Refusal) or found is None:
@@ -273,17 +294,21 @@
             )
         last = response.frames[-1]
         tokens = last.prompt_tokens + last.output_tokens
-        await self._report_end(found, call.request, tokens)
-        sink.pass_on(last)
+        await self._report_settlement(found, call.request, tokens)
+        sink.forward(last)
         log_event("request-taken-over", request=call.request, attempt=found.attempt)
         return CachedResponse(call.content, tokens, tuple(response.frames))
 
-    async def _find_attempt(self, request: RequestName) -> _Found | Refusal | None:
+    async def _find_attempt(
+        self, request: RequestName
+    ) -> _FoundAttempt | Refusal | None:
         own = self._witness.find_request(request)
         if own and not self._peers.is_usable(own[-1].holder):
             newest = own[-1]
             attempt = AttemptId(newest.grant, newest.intent.seq)
-            return _Found(None, attempt, newest.intent.upstream, newest.intent.stream)
+            return _FoundAttempt(
+                None, attempt, newest.intent.upstream, newest.intent.stream
+            )
         found = await self._peers.find_request(request)
         if own or any(response.holder_alive for _, response in found):
             return Refusal(
@@ -294,31 +319,31 @@
             )
         for peer, response in found:
             if response.attempt is not None:
-                return _Found(
+                return _FoundAttempt(
                     peer, response.attempt, response.upstream, response.stream
                 )
         return None
 
     async def _replay(self, url: str, response: Response, sink: FrameSink) -> None:
-        def take(frame: Frame) -> None:
+        def on_frame(frame: Frame) -> None:
             response.take(frame)
             if response.frames and response.frames[-1] is frame and not frame.finish:
-                sink.pass_on(frame)
+                sink.forward(frame)
 
         for _ in range(MAX_RESUMES):
             try:
                 await self._engines.resume(
-                    url, response.stream, response.next_offset, take
+                    url, response.stream, response.next_offset, on_frame
                 )
             except (RefusedError, MayHaveRunError):
                 return
             if response.whole:
                 return
 
-    async def _report_end(
-        self, found: _Found, request: RequestName, tokens: int
+    async def _report_settlement(
+        self, found: _FoundAttempt, request: RequestName, tokens: int
     ) -> None:
-        """Have the bill of a taken-over attempt noted by the witness that knows it."""
+        """Record the bill of a taken-over attempt at the attempt's witness."""
         if found.witness is None:
             self._witness.resolve(found.attempt, request, tokens)
             return
@@ -329,12 +354,12 @@
             found.witness,
             Settle(found.attempt.grant, request.workspace, (settlement,)),
         )
-        if not await wait_at_most(waiter, REPORT_SECONDS, self.clock, False):
+        if not await wait_at_most(waiter, REPORT_TIMEOUT_SECONDS, self.clock, False):
             log_event("report-unanswered", Level.WARNING, attempt=found.attempt)
         self._reports.pop(found.attempt, None)
 
     def note_settled(self, grant: GrantId, seqs: tuple[int, ...]) -> None:
-        """Learn that a witness noted the ends of attempts."""
+        """Note that a witness has recorded settlements."""
         for seq in seqs:
             waiter = self._reports.pop(AttemptId(grant, seq), None)
             if waiter is not None:
--- a/packages/pondquay-daemon/src/pondquay_daemon/requestattempts.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/requestattempts.py
@@ -1,4 +1,4 @@
-"""What each attempt of a request needs, whatever runs it: a place, tokens, an end."""
+"""Placement, reservation and clean-up common to all attempts of requests."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from pondquay_daemon.calls import Refusal, RefusalCode
 from pondquay_daemon.errors import RefusedError
 from pondquay_daemon.logs import Level, log_event
-from pondquay_daemon.progress import RETRY_SECONDS, Started, refuse_budget
+from pondquay_daemon.progress import RETRY_SECONDS, StartedAttempt, refuse_budget
 
 if TYPE_CHECKING:
     from twisted.internet.interfaces import IReactorTime
@@ -19,13 +19,13 @@
     from pondquay_daemon.calls import Call
     from pondquay_daemon.grants import GrantTask
     from pondquay_daemon.progress import Progress
-    from pondquay_daemon.upstreams import Upstreams, Wish
+    from pondquay_daemon.upstreams import UpstreamRequirements, Upstreams
 
 MAX_ATTEMPTS = 3
 
 
 class Attempts:
-    """Begins attempts, and ends those that came to nothing."""
+    """Starts attempts, and cleans up after failed ones."""
 
     def __init__(
         self, clock: IReactorTime, grants: GrantTask, upstreams: Upstreams
@@ -36,36 +36,38 @@
         self._retries = RetryBudget()
 
     def note_request(self) -> None:
-        """Count a request, which lets the instance make some further attempts."""
+        """Count a request, which adds to the budget for retries."""
         self._retries.earn()
 
-    async def start(self, progress: Progress, wish: Wish) -> Started | Refusal:
-        """Take a place and reserve what the attempt can cost."""
+    async def start(
+        self, progress: Progress, requirements: UpstreamRequirements
+    ) -> StartedAttempt | Refusal:
+        """Place an attempt at an upstream and reserve its maximum cost."""
         call = progress.call
-        if not self._upstreams.is_served(wish):
+        if not self._upstreams.is_served(requirements):
             return progress.refusal(
                 RefusalCode.UPSTREAM_FAILED,
-                f"no upstream serves {wish.target} now",
+                f"no upstream serves {requirements.target} now",
                 RETRY_SECONDS,
             )
-        placement = await self._upstreams.place(wish, call.priority, call.wait)
+        placement = await self._upstreams.place(requirements, call.priority, call.wait)
         if placement is None:
             return progress.refusal(
                 RefusalCode.OVER_CAPACITY, "no place came free in time", RETRY_SECONDS
             )
         reserved = await self._grants.reserve(
             call.request,
-            wish.work.tokens,
+            requirements.work.tokens,
             placement.upstream.name,
             placement.upstream.boot,
         )
         if isinstance(reserved, Failure):
             self._upstreams.release(placement)
             return refuse_budget(progress, reserved.failure())
-        return Started(placement, reserved.unwrap())
+        return StartedAttempt(placement, reserved.unwrap())
 
     def may_try_again(self, progress: Progress) -> bool:
-        """Decide whether another attempt is allowed and affordable."""
+        """Return whether another attempt is allowed, and charge the retry budget."""
         progress.attempts += 1
         if progress.attempts >= MAX_ATTEMPTS:
             return False
@@ -73,14 +75,14 @@
             return False
         return self._retries.spend()
 
-    def release(self, started: Started) -> None:
-        """Give back the place of an attempt that has ended."""
+    def release(self, started: StartedAttempt) -> None:
+        """Release the upstream's slot after an attempt has ended."""
         self._upstreams.release(started.placement)
 
     async def give_up_unstarted(
-        self, progress: Progress, started: Started, error: Exception
+        self, progress: Progress, started: StartedAttempt, error: Exception
     ) -> None:
-        """Give back all that was taken for an attempt that certainly did not run."""
+        """Record the failure of an attempt that did not run, and free its tokens."""
         self.log_failure(progress.call, started, error)
         upstream = started.placement.upstream
         if isinstance(error, RefusedError) and started.attempt.boot == upstream.boot:
@@ -89,14 +91,16 @@
         progress.life.refuse()
         await self._grants.settle(started.attempt, None)
 
-    def avoid(self, progress: Progress, started: Started) -> None:
-        """Have an upstream that failed get no further attempt of this request."""
+    def avoid(self, progress: Progress, started: StartedAttempt) -> None:
+        """Exclude the attempt's upstream from further attempts of the request."""
         upstream = started.placement.upstream
         progress.failed.add(upstream.name)
         upstream.circuit.fail(self._clock.seconds())
 
-    def log_failure(self, call: Call, started: Started, error: Exception) -> None:
-        """Log why an attempt has failed."""
+    def log_failure(
+        self, call: Call, started: StartedAttempt, error: Exception
+    ) -> None:
+        """Log the failure of an attempt."""
         log_event(
             "attempt-failed",
             Level.WARNING,
--- a/packages/pondquay-daemon/src/pondquay_daemon/requestclaims.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/requestclaims.py
@@ -1,4 +1,4 @@
-"""The claim task: claims of requests that may not be repeated, and their release."""
+"""The claim task: claims and releases requests that may not be repeated."""
 
 from __future__ import annotations
 
@@ -31,14 +31,13 @@
     from pondquay_daemon.platform import Platform
     from pondquay_daemon.progress import Progress
 
-RELEASE_SECONDS = 1.0
-# A request waits no longer than this for the table to take its claim.
-CLAIM_SECONDS = 0.2
+RELEASE_INTERVAL_SECONDS = 1.0
+CLAIM_TIMEOUT_SECONDS = 0.2
 
 
 @dataclass(frozen=True, slots=True)
-class DoubtfulClaim:
-    """A claim that may stand though its request did not run."""
+class StaleClaim:
+    """A claim that may be stored although its request did not run."""
 
     request: RequestName
     nonce: str
@@ -47,8 +46,8 @@
 class ClaimTask(Task):
     """Owns the claims of one instance.
 
-    :param instance: this life of the instance
-    :param next_number: returns a number that this life has not used
+    :param instance: identifier of the instance's incarnation
+    :param next_number: returns a number that is unique within the incarnation
     """
 
     def __init__(
@@ -62,14 +61,14 @@
         self._instance = instance
         self._platform = platform
         self._next_number = next_number
-        self._doubtful: list[DoubtfulClaim] = []
+        self._stale_claims: list[StaleClaim] = []
 
     def start(self) -> None:
-        """Release doubtful claims from now on."""
-        self.repeat(RELEASE_SECONDS, self.release_doubtful)
+        """Start to release stale claims."""
+        self.repeat(RELEASE_INTERVAL_SECONDS, self.release_stale_claims)
 
     async def claim(self, progress: Progress) -> Refusal | None:
-        """Claim a request that may not be repeated before anything else is done."""
+        """Claim a request that may not be repeated; return a refusal on failure."""
         call = progress.call
         if call.repeatable:
             return None
@@ -84,7 +83,7 @@
                     code = RefusalCode.REQUEST_RAN
                 return Refusal(code, "this key was used before", Outcome.UNKNOWN)
             case ClaimUnknown():
-                self._doubt(progress)
+                self._mark_stale(progress)
         progress.nonce = ""
         return progress.refusal(
             RefusalCode.PLATFORM_UNREACHABLE,
@@ -93,30 +92,35 @@
         )
 
     async def _write(self, progress: Progress) -> ClaimOutcome | None:
-        """Write a claim; ``None`` if the table takes too long for the caller.
+        """Write a claim; return ``None`` if the table doesn't respond in time.
 
-        The request is refused then, and the claim is released once it is known.
+        The request is then refused, and the claim is released if the table stored it.
         """
         request, nonce = progress.call.request, progress.nonce
         program = claim_request(request, self._instance, nonce)
         claiming: Deferred[ClaimOutcome | None] = Deferred.fromCoroutine(
             self._platform.run(program)
         )
-        outcome = await wait_at_most(claiming, CLAIM_SECONDS, self.clock, None)
+        outcome = await wait_at_most(claiming, CLAIM_TIMEOUT_SECONDS, self.clock, None)
         if outcome is None:
-            claim = DoubtfulClaim(request, nonce)
-            claiming.addCallback(self._note_late, claim)
+            claim = StaleClaim(request, nonce)
+            claiming.addCallback(self._note_late_outcome, claim)
         return outcome
 
-    def _note_late(self, outcome: ClaimOutcome | None, claim: DoubtfulClaim) -> None:
+    def _note_late_outcome(
+        self, outcome: ClaimOutcome | None, claim: StaleClaim
+    ) -> None:
         if isinstance(outcome, Claimed | ClaimUnknown):
-            self._doubtful.append(claim)
+            self._stale_claims.append(claim)
 
-    def _doubt(self, progress: Progress) -> None:
-        self._doubtful.append(DoubtfulClaim(progress.call.request, progress.nonce))
+    def _mark_stale(self, progress: Progress) -> None:
+        self._stale_claims.append(StaleClaim(progress.call.request, progress.nonce))
 
     async def end(self, progress: Progress) -> None:
-        """Note how a claimed request ended, or release its claim if it did not run."""
+        """Finish the claim of a request that is done, or release one that did not run.
+
+        The claim of a request with an unknown outcome remains.
+        """
         if not progress.nonce:
             return
         outcome = progress.life.outcome()
@@ -125,15 +129,15 @@
                 finish_claim(progress.call.request, progress.nonce)
             )
         elif outcome is Outcome.NOT_RUN:
-            self._doubt(progress)
-            # The caller is told at once, also where the table does not answer.
-            spawn(self.release_doubtful(), "ClaimTask")
+            self._mark_stale(progress)
+            # The caller's response doesn't wait for the table.
+            spawn(self.release_stale_claims(), "ClaimTask")
 
-    async def release_doubtful(self) -> None:
-        """Release claims on requests that certainly did not run."""
-        for claim in list(self._doubtful):
+    async def release_stale_claims(self) -> None:
+        """Release the claims of requests that did not run."""
+        for claim in list(self._stale_claims):
             released = await self._platform.run(
                 release_claim(claim.request, claim.nonce)
             )
-            if isinstance(released, Released) and claim in self._doubtful:
-                self._doubtful.remove(claim)
+            if isinstance(released, Released) and claim in self._stale_claims:
+                self._stale_claims.remove(claim)
--- a/packages/pondquay-daemon/src/pondquay_daemon/requestindex.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/requestindex.py
@@ -1,4 +1,4 @@
-"""The index of requests that this instance runs or ran a while ago."""
+"""The index of requests that run at this instance or ran there recently."""
 
 from __future__ import annotations
 
@@ -11,32 +11,34 @@
 if TYPE_CHECKING:
     from pondquay.names import InstanceId, RequestName
 
-MAX_KEPT = 2000
-MAX_KEPT_BYTES = 8 << 20
+MAX_CACHED_RESPONSES = 2000
+MAX_CACHE_BYTES = 8 << 20
 RETRY_SECONDS = 1
 
 
 class RequestIndex:
-    """Knows which requests run here, and keeps whole answers for callers that return.
+    """Tracks running requests and caches complete responses for callers' retries.
 
-    :param most_kept: answers kept at most
-    :param most_bytes: memory that they may take together
+    :param max_responses: maximum number of cached responses
+    :param max_bytes: maximum size of the cached responses in bytes
     """
 
     def __init__(
-        self, most_kept: int = MAX_KEPT, most_bytes: int = MAX_KEPT_BYTES
+        self,
+        max_responses: int = MAX_CACHED_RESPONSES,
+        max_bytes: int = MAX_CACHE_BYTES,
     ) -> None:
         self.running: dict[RequestName, Call] = {}
-        self._looking: set[RequestName] = set()
-        self._kept: OrderedDict[RequestName, CachedResponse] = OrderedDict()
+        self._searching: set[RequestName] = set()
+        self._cached: OrderedDict[RequestName, CachedResponse] = OrderedDict()
         self._bytes = 0
-        self._most_kept = most_kept
-        self._most_bytes = most_bytes
+        self._max_responses = max_responses
+        self._max_bytes = max_bytes
 
     def find(self, call: Call) -> CachedResponse | Refusal | None:
-        """Return the kept answer to a call, or why it cannot be taken.
+        """Return the cached response to a call, or a refusal.
 
-        :returns: ``None`` if the request is new here
+        :returns: ``None`` if the request is unknown here
         """
         running = self.running.get(call.request)
         if running is not None:
@@ -48,46 +50,49 @@
                 Outcome.UNKNOWN,
                 RETRY_SECONDS,
             )
-        kept = self._kept.get(call.request)
-        if kept is not None and kept.content != call.content:
+        cached = self._cached.get(call.request)
+        if cached is not None and cached.content != call.content:
             return _refuse_reused_key()
-        return kept
+        return cached
 
     def begin(self, call: Call) -> None:
-        """Note that a request is here, and that its attempts are looked for."""
+        """Add a request for whose attempts at other instances a search starts."""
         self.running[call.request] = call
-        self._looking.add(call.request)
+        self._searching.add(call.request)
 
-    def found_none(self, call: Call) -> None:
-        """Note that no attempt was found, so the request will run here."""
-        self._looking.discard(call.request)
+    def note_none_found(self, call: Call) -> None:
+        """Note that the search found no attempt, so the request runs here."""
+        self._searching.discard(call.request)
 
     def end(self, call: Call) -> None:
-        """Note that a request no longer runs."""
+        """Remove a request that has ended."""
         self.running.pop(call.request, None)
-        self._looking.discard(call.request)
+        self._searching.discard(call.request)
 
-    def runs_before(
+    def takes_precedence(
         self, request: RequestName, own_id: InstanceId, requester: InstanceId
     ) -> bool:
-        """Tell a peer that has the same request whether it should leave it to us.
+        """Return whether a request runs here rather than at a peer that also has it.
 
-        While both only look for attempts, the one whose name is less goes on; were
-        each to count the other as running, both would refuse and no one would run it.
+        While both instances search for attempts, the lower identifier takes precedence,
+        so that exactly one instance runs the request.
+
+        :param own_id: identifier of this instance
+        :param requester: identifier of the peer
         """
         if request not in self.running:
             return False
-        return request not in self._looking or own_id < requester
+        return request not in self._searching or own_id < requester
 
-    def keep(self, call: Call, response: CachedResponse) -> None:
-        """Keep a whole answer, dropping the oldest ones for it."""
-        if not call.keyed or response.size > self._most_bytes // 4:
+    def cache(self, call: Call, response: CachedResponse) -> None:
+        """Cache a complete response, and evict the oldest ones beyond the limits."""
+        if not call.keyed or response.size > self._max_bytes // 4:
             return
-        self._kept[call.request] = response
+        self._cached[call.request] = response
         self._bytes += response.size
-        while len(self._kept) > self._most_kept or self._bytes > self._most_bytes:
-            _, dropped = self._kept.popitem(last=False)
-            self._bytes -= dropped.size
+        while len(self._cached) > self._max_responses or self._bytes > self._max_bytes:
+            _, evicted = self._cached.popitem(last=False)
+            self._bytes -= evicted.size
 
 
 def _refuse_reused_key() -> Refusal:
--- a/packages/pondquay-daemon/src/pondquay_daemon/retryafter.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/retryafter.py
@@ -1,4 +1,4 @@
-"""How long an upstream that turns a request away wants no other."""
+"""Parses the back-off that an upstream requests when it rejects a request."""
 
 from __future__ import annotations
 
@@ -8,17 +8,16 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-# No upstream wants nothing for longer; a slip of one must not keep it from work for
-# good.
+# Keeps an erroneous value from excluding an upstream permanently.
 MAX_BACKOFF_SECONDS = 3600.0
 SECONDS_FORM = re.compile(rb"[0-9]{1,15}(\.[0-9]{0,15})?")
 
 
 def read_backoff(values: Iterable[bytes]) -> float:
-    """Return the longest of the times that stand in an answer, 0 if none does.
+    """Return the longest back-off of ``Retry-After`` values in seconds, 0 without any.
 
-    Each is a number of seconds (RFC 9110, section 10.2.3), here with fractions as well.
-    A date says nothing, since clocks of hosts differ, and neither does anything else.
+    A value is a number of seconds (RFC 9110, section 10.2.3), optionally with a
+    fraction. Dates are ignored, since hosts' clocks differ, as are malformed values.
     """
     return max(map(_read_seconds, values), default=0.0)
 
--- a/packages/pondquay-daemon/src/pondquay_daemon/runner.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/runner.py
@@ -1,4 +1,4 @@
-"""The request task: one request's way from the endpoint to its bill."""
+"""The request task: processes requests from the endpoint to the bill."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
     Refusal,
     RefusalCode,
 )
-from pondquay_daemon.completionruns import CompletionRuns
+from pondquay_daemon.completionruns import CompletionRunner
 from pondquay_daemon.progress import RETRY_SECONDS, Progress
 from pondquay_daemon.requestattempts import Attempts
 from pondquay_daemon.requestindex import RequestIndex
-from pondquay_daemon.serviceruns import ServiceRuns
+from pondquay_daemon.serviceruns import ServiceRunner
 from pondquay_daemon.tasks import Task
 
 if TYPE_CHECKING:
@@ -34,7 +34,7 @@
 
 
 class Runner(Task):
-    """Takes requests in, has them claimed and run, and keeps their answers."""
+    """Accepts, claims and runs requests, and caches their responses."""
 
     def __init__(
         self,
@@ -54,29 +54,29 @@
         self._configuration = configuration
         self.index = RequestIndex()
         self._attempts = Attempts(reactor, grants, upstreams)
-        self._completions = CompletionRuns(
+        self._completions = CompletionRunner(
             reactor, self._attempts, grants, engines, recovery, self.index, metrics
         )
-        self._service_runs = ServiceRuns(
+        self._service_calls = ServiceRunner(
             self._attempts, grants, services, self.index, metrics
         )
         self.stopping = False
 
-    def running(self) -> int:
-        """Return how many requests are in progress."""
+    def count_running(self) -> int:
+        """Return the number of requests in progress."""
         return len(self.index.running)
 
     async def complete(
         self, call: CompletionCall, sink: FrameSink
     ) -> Delivered | Refusal:
-        """Run a chat completion, or find the answer it already has."""
-        known = self._recall(call)
-        if isinstance(known, Refusal):
-            return known
-        if known is not None:
-            for frame in known.frames:
-                sink.pass_on(frame)
-            return Delivered(known.tokens)
+        """Run a chat completion, or forward its cached response."""
+        cached = self._find_cached(call)
+        if isinstance(cached, Refusal):
+            return cached
+        if cached is not None:
+            for frame in cached.frames:
+                sink.forward(frame)
+            return Delivered(cached.tokens)
         self.index.begin(call)
         try:
             return await self._complete_new(call, sink)
@@ -84,22 +84,22 @@
             self.index.end(call)
 
     async def call_service(self, call: PlainCall) -> CachedResponse | Refusal:
-        """Make a call to a plain service, or find the answer it already has."""
-        known = self._recall(call)
-        if known is not None:
-            return known
+        """Make a call to a plain service, or return its cached response."""
+        cached = self._find_cached(call)
+        if cached is not None:
+            return cached
         self.index.begin(call)
-        self.index.found_none(call)
+        self.index.note_none_found(call)
         try:
             progress = Progress(call, begin_request(repeatable=call.repeatable))
             refusal = await self._claims.claim(progress)
-            response = refusal or await self._service_runs.run(progress, call)
+            response = refusal or await self._service_calls.run(progress, call)
             await self._claims.end(progress)
             return response
         finally:
             self.index.end(call)
 
-    def _recall(self, call: Call) -> CachedResponse | Refusal | None:
+    def _find_cached(self, call: Call) -> CachedResponse | Refusal | None:
         if self.stopping or not self._configuration.loaded:
             return Refusal(
                 RefusalCode.NOT_READY,
@@ -117,8 +117,8 @@
         if call.keyed:
             taken_over = await self._recovery.take_over(call, sink)
             if taken_over is not None:
-                return self._keep_taken_over(call, taken_over)
-        self.index.found_none(call)
+                return self._finish_taken_over(call, taken_over)
+        self.index.note_none_found(call)
         refusal = await self._claims.claim(progress)
         if refusal is not None:
             return refusal
@@ -127,10 +127,10 @@
         await self._claims.end(progress)
         return result
 
-    def _keep_taken_over(
+    def _finish_taken_over(
         self, call: CompletionCall, taken_over: CachedResponse | Refusal
     ) -> Delivered | Refusal:
         if isinstance(taken_over, Refusal):
             return taken_over
-        self.index.keep(call, taken_over)
+        self.index.cache(call, taken_over)
         return Delivered(taken_over.tokens)
--- a/packages/pondquay-daemon/src/pondquay_daemon/serviceruns.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/serviceruns.py
@@ -1,4 +1,4 @@
-"""Calls to plain services: attempts until one is answered or given up."""
+"""Makes calls to plain services until there is a response or no retry is allowed."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 from pondquay_daemon.calls import CachedResponse, Refusal
 from pondquay_daemon.errors import MayHaveRunError, NotSentError
 from pondquay_daemon.progress import refuse_unfinished
-from pondquay_daemon.upstreams import Wish
+from pondquay_daemon.upstreams import UpstreamRequirements
 
 if TYPE_CHECKING:
     from pondquay_daemon.calls import PlainCall
     from pondquay_daemon.grants import GrantTask
     from pondquay_daemon.metrics import Metrics
-    from pondquay_daemon.progress import Progress, Started
+    from pondquay_daemon.progress import Progress, StartedAttempt
     from pondquay_daemon.requestattempts import Attempts
     from pondquay_daemon.requestindex import RequestIndex
     from pondquay_daemon.services import ServiceResponse, Services
 
 
-class ServiceRuns:
-    """Makes calls to plain services that have been claimed."""
+class ServiceRunner:
+    """Makes claimed calls to plain services."""
 
     def __init__(
         self,
@@ -43,9 +43,9 @@
     async def run(
         self, progress: Progress, call: PlainCall
     ) -> CachedResponse | Refusal:
-        """Make a call to its end."""
+        """Make a call, with retries at other upstreams."""
         while True:
-            wish = Wish(
+            requirements = UpstreamRequirements(
                 call.request,
                 SERVICE,
                 call.service,
@@ -53,7 +53,7 @@
                 Work(call.price, rank=ORDER.index(call.priority)),
                 frozenset(progress.failed),
             )
-            started = await self._attempts.start(progress, wish)
+            started = await self._attempts.start(progress, requirements)
             if isinstance(started, Refusal):
                 return started
             try:
@@ -67,7 +67,7 @@
             self._metrics.retries.inc()
 
     async def _call_once(
-        self, progress: Progress, call: PlainCall, started: Started
+        self, progress: Progress, call: PlainCall, started: StartedAttempt
     ) -> ServiceResponse | None:
         upstream = started.placement.upstream
         progress.life.dispatch()
@@ -90,17 +90,17 @@
         self,
         progress: Progress,
         call: PlainCall,
-        started: Started,
+        started: StartedAttempt,
         response: ServiceResponse,
     ) -> CachedResponse:
         await self._grants.settle(started.attempt, call.price)
-        kept = CachedResponse(
+        cached = CachedResponse(
             call.content,
             call.price,
             status=response.status,
             body=response.body,
             headers=dict(response.headers),
         )
-        self._index.keep(call, kept)
+        self._index.cache(call, cached)
         self._metrics.billed_tokens.labels(call.request.workspace).inc(call.price)
-        return kept
+        return cached
--- a/packages/pondquay-daemon/src/pondquay_daemon/services.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/services.py
@@ -10,7 +10,7 @@
 from twisted.web.client import Agent
 
 from pondquay_daemon.errors import MayHaveRunError, NotSentError
-from pondquay_daemon.platform import NETWORK_ERRORS, make_pool
+from pondquay_daemon.platform import NETWORK_ERRORS, make_connection_pool
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
@@ -18,14 +18,20 @@
 CONNECT_SECONDS = 1.0
 RESPONSE_SECONDS = 30.0
 REQUEST_HEADER = "Pondquay-Request"
-PASSED_ON = ("content-type", "etag", "last-modified", "location", "cache-control")
+FORWARDED_HEADERS = (
+    "content-type",
+    "etag",
+    "last-modified",
+    "location",
+    "cache-control",
+)
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceCall:
     """A call to a plain service.
 
-    :param path: path and query below the service's address
+    :param path: path and query, relative to the service's URL
     """
 
     method: str
@@ -36,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceResponse:
-    """The whole answer of a plain service."""
+    """The complete response of a plain service."""
 
     status: int
     body: bytes
@@ -44,19 +50,21 @@
 
 
 class Services:
-    """Calls to plain services from one instance."""
+    """Makes calls to plain services."""
 
     def __init__(self, reactor: Any) -> None:
         self._reactor = reactor
-        agent = Agent(reactor, pool=make_pool(reactor), connectTimeout=CONNECT_SECONDS)
+        agent = Agent(
+            reactor, pool=make_connection_pool(reactor), connectTimeout=CONNECT_SECONDS
+        )
         self._http = treq.client.HTTPClient(agent)
 
     async def call(self, url: str, name: str, call: ServiceCall) -> ServiceResponse:
-        """Make a call and return its whole answer.
+        """Make a call and return its complete response.
 
-        :param name: the attempt's name, for the service's own log
-        :raises NotSentError: if nothing was written
-        :raises MayHaveRunError: if the answer did not come, or not whole
+        :param name: the attempt's name, for the service's logs
+        :raises NotSentError: if no byte was written
+        :raises MayHaveRunError: if there was no response or an incomplete one
         """
         headers: dict[bytes | str, bytes | str] = {REQUEST_HEADER: name}
         headers.update(call.headers)
@@ -76,9 +84,9 @@
             raise NotSentError(str(error)) from error
         except NETWORK_ERRORS as error:
             raise MayHaveRunError(str(error)) from error
-        passed = {
+        forwarded = {
             name: values[0].decode("latin-1")
-            for name in PASSED_ON
+            for name in FORWARDED_HEADERS
             if (values := response.headers.getRawHeaders(name.encode()))
         }
-        return ServiceResponse(response.code, body, passed)
+        return ServiceResponse(response.code, body, forwarded)
--- a/packages/pondquay-daemon/src/pondquay_daemon/settings.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the daemon: an INI file, checked as a whole before anything starts."""
+"""Settings of the daemon: an INI file, validated as a whole before the start."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class InstanceSection(Section):
-    """Who the instance is and where it stands."""
+    """Name and failure domain of the instance."""
 
     name: Annotated[str, Field(pattern=NAME_PATTERN)]
     domain: Annotated[str, Field(pattern=NAME_PATTERN)]
@@ -45,15 +45,16 @@
     @field_validator("callers", "operators", "peers", "metrics")
     @classmethod
     def check_address(cls, text: str) -> str:
-        """Refuse what is not an address."""
+        """Reject values that are not addresses."""
         Address.parse(text)
         return text
 
 
 class PlatformSection(Section):
-    """Where the platform's table service, object store and instance list are.
+    """How to reach the platform.
 
-    :param timeout: seconds after which an answer counts as lost
+    :param url: base URL of its table service, object store and instance list
+    :param timeout: seconds after which a call without a response fails
     """
 
     url: Annotated[str, Field(pattern=r"^https?://")]
@@ -61,9 +62,9 @@
 
 
 class FleetSection(Section):
-    """What the instances of one fleet share.
+    """Settings shared by the instances of one fleet.
 
-    :param key_file: file with the key by which instances recognise each other
+    :param key_file: file with the key that authenticates instances to each other
     """
 
     key_file: Path
@@ -71,7 +72,7 @@
     @field_validator("key_file")
     @classmethod
     def check_key(cls, path: Path) -> Path:
-        """Refuse a file that cannot be read or holds too short a key."""
+        """Reject a file that cannot be read or whose key is too short."""
         try:
             key = path.read_bytes().strip()
         except OSError as error:
@@ -82,7 +83,7 @@
 
 
 class PoliciesSection(Section):
-    """Plug-ins by the names under which they are registered."""
+    """Names of registered policy plug-ins."""
 
     routing: str = "prefix-affinity"
     grants: str = "proportional"
@@ -90,23 +91,23 @@
     @field_validator("routing")
     @classmethod
     def check_routing(cls, name: str) -> str:
-        """Refuse a routing policy that is not registered."""
+        """Reject a routing policy that is not registered."""
         return _check_registered(name, ROUTING_POLICIES.names())
 
     @field_validator("grants")
     @classmethod
     def check_grants(cls, name: str) -> str:
-        """Refuse a grant policy that is not registered."""
+        """Reject a grant policy that is not registered."""
         return _check_registered(name, GRANT_POLICIES.names())
 
 
 class LimitsSection(Section):
-    """Bounds of what the instance takes in.
+    """Limits on requests.
 
-    :param body_bytes: size of a caller's request
-    :param queue_seconds: how long a request may wait for a place
-    :param running: requests in flight at once
-    :param stop_seconds: how long a planned stop waits for streams in progress
+    :param body_bytes: maximum size of a request's body
+    :param queue_seconds: maximum wait of a request in the queue
+    :param running: maximum number of requests in progress
+    :param stop_seconds: maximum wait of a planned stop for requests in progress
     """
 
     body_bytes: Annotated[int, Field(ge=1024, le=64 << 20)] = 1 << 20
@@ -116,15 +117,15 @@
 
 
 class LogsSection(Section):
-    """What is logged: ``debug``, ``info``, ``warning`` or ``error`` and above."""
+    """The lowest level that is logged."""
 
     level: Annotated[str, Field(pattern="^(debug|info|warning|error)$")] = "info"
 
 
 class PartnerSection(Section):
-    """A partner whose operators may use the operator endpoint.
+    """A partner with access to the operator endpoint.
 
-    :param operator_key_digest: SHA-256 of the partner's operator key
+    :param operator_key_digest: SHA-256 digest of the partner's operator key
     """
 
     operator_key_digest: Annotated[str, Field(pattern=DIGEST_PATTERN)]
@@ -143,7 +144,7 @@
     partners: dict[str, PartnerSection] = {}
 
     def read_fleet_key(self) -> bytes:
-        """Read the fleet's key from its file."""
+        """Return the fleet's key, read from its file."""
         return self.fleet.key_file.read_bytes().strip()
 
 
@@ -160,9 +161,9 @@
 
 
 def load_settings(path: Path) -> Settings:
-    """Read and check a settings file.
+    """Read and validate a settings file.
 
-    :raises InvalidInputError: with everything that is wrong in it
+    :raises InvalidInputError: with all findings if the file is invalid
     """
     findings = Findings()
     try:
@@ -226,10 +227,10 @@
     try:
         return section_type.model_validate(values)
     except ValidationError as error:
-        for one in error.errors():
-            key = str(one["loc"][0])
+        for detail in error.errors():
+            key = str(detail["loc"][0])
             place = section.describe_location(key)
-            message = one["msg"].removeprefix("Value error, ")
+            message = detail["msg"].removeprefix("Value error, ")
             findings.add(place, f"{section.name}.{key}", message)
         return None
 
--- a/packages/pondquay-daemon/src/pondquay_daemon/tasks.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/tasks.py
@@ -1,4 +1,4 @@
-"""Tasks: each owns its state and sockets and is entered and left as a context."""
+"""Tasks, which own their state and sockets and are used as context managers."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 
 
 class Task:
-    """Base of all tasks: what they start repeats until they are left."""
+    """Base of all tasks; leaving the context stops a task's loops."""
 
     def __init__(self, clock: IReactorTime) -> None:
         self.clock = clock
         self._loops: list[LoopingCall] = []
 
     def __enter__(self) -> Task:
-        """Begin to work."""
+        """Return the task."""
         return self
 
     def __exit__(
@@ -36,7 +36,7 @@
         error: BaseException | None,
         trace: TracebackType | None,
     ) -> None:
-        """Stop everything that repeats."""
+        """Stop all loops."""
         for loop in self._loops:
             if loop.running:
                 loop.stop()
@@ -45,7 +45,7 @@
     def repeat(
         self, seconds: float, step: Callable[[], Coroutine[Deferred[Any], Any, None]]
     ) -> None:
-        """Run a step now and then again and again; an error ends no loop."""
+        """Run a step immediately and then periodically; errors don't end the loop."""
 
         def run() -> Deferred[None]:
             return spawn(step(), type(self).__name__)
@@ -57,7 +57,10 @@
 
 
 def spawn(coroutine: Coroutine[Deferred[Any], Any, None], owner: str) -> Deferred[None]:
-    """Run a coroutine by itself; an error is logged."""
+    """Run a coroutine in the background and log its errors.
+
+    :param owner: name of the task for the log
+    """
     deferred = Deferred.fromCoroutine(coroutine)
     deferred.addErrback(_log_failure, owner)
     return deferred
@@ -78,19 +81,19 @@
 async def wait_at_most(
     deferred: Deferred[T], seconds: float, clock: IReactorTime, default: T
 ) -> T:
-    """Wait for a result, or take a default after some seconds.
+    """Wait for a result, or return a default after a timeout.
 
-    The deferred given is left as it is, so others may still fire it.
+    The given deferred isn't cancelled and may still fire later.
     """
     waiter: Deferred[T] = Deferred()
 
-    def pass_on(result: T) -> T:
+    def forward(result: T) -> T:
         if not waiter.called:
             waiter.callback(result)
         return result
 
-    deferred.addCallback(pass_on)
-    timer = clock.callLater(seconds, pass_on, default)
+    deferred.addCallback(forward)
+    timer = clock.callLater(seconds, forward, default)
     try:
         return await waiter
     finally:
@@ -99,7 +102,7 @@
 
 
 async def sleep(seconds: float, clock: IReactorTime) -> None:
-    """Wait for some seconds."""
+    """Wait for a number of seconds."""
     deferred: Deferred[None] = Deferred()
     clock.callLater(seconds, deferred.callback, None)
     await deferred
