--- a/packages/pondquay-daemon/src/pondquay_daemon/upstreams.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/upstreams.py
@@ -1,4 +1,4 @@
-"""The upstream task: which upstreams there are, their load, and who gets a request."""
+"""The upstream task: discovers upstreams, tracks their load, and places requests."""
 
 from __future__ import annotations
 
@@ -26,21 +26,22 @@
     from pondquay_daemon.engines import Engines
     from pondquay_daemon.platform import ListedInstance, Platform
 
-LIST_SECONDS = 1.0
-LOAD_SECONDS = 0.5
-LATE_SECONDS = 0.1
-STALE_SECONDS = 5.0
+LIST_INTERVAL_SECONDS = 1.0
+LOAD_INTERVAL_SECONDS = 0.5
+EXPIRY_CHECK_INTERVAL_SECONDS = 0.1
+MAX_REPORT_AGE_SECONDS = 5.0
 WHOLE_SHARE = 100
 MAX_PREFIXES = 2000
 
 
 @dataclass(frozen=True, slots=True)
-class Wish:
-    """What a request needs of an upstream.
+class UpstreamRequirements:
+    """Requirements of a request for its upstream.
 
     :param kind: ``engine`` or ``service``
-    :param target: the model's or the service's name
-    :param excluded: upstreams that already failed this request
+    :param target: name of the model or the service
+    :param partner: partner of the request's workspace
+    :param excluded: names of upstreams that failed to serve the request
     """
 
     request: RequestName
@@ -53,9 +54,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Placement:
-    """An upstream with a place taken in it.
+    """An upstream with a slot taken for a request.
 
-    :param version: the version of the model to ask for
+    :param version: version of the model to run, empty for a service
     """
 
     upstream: Upstream
@@ -64,15 +65,15 @@
 
 
 @dataclass(slots=True)
-class _Entry:
-    """A wish that waits, and where its answer goes."""
+class _PendingPlacement:
+    """A queued request; ``placed`` fires with its placement, ``None`` on expiry."""
 
-    wish: Wish
+    requirements: UpstreamRequirements
     placed: Deferred[Placement | None] = field(default_factory=Deferred)
 
 
 class Upstreams(Task):
-    """Owns what is known of all upstreams and the queue in front of them.
+    """Owns the state of all upstreams and the queue of requests for them.
 
     :param policy: name of the routing policy
     """
@@ -93,40 +94,40 @@
         self._domain = domain
         self._policy = ROUTING_POLICIES.create(policy)
         self._random = Random()
-        self._queue: AdmissionQueue[_Entry] = AdmissionQueue()
+        self._queue: AdmissionQueue[_PendingPlacement] = AdmissionQueue()
         self.known: dict[str, Upstream] = {}
         self.listed: list[ListedInstance] = []
         self._leaving: set[str] = set()
-        self._asking: set[str] = set()
+        self._requesting: set[str] = set()
 
     def start(self) -> None:
-        """Follow the platform's list and the upstreams' reports from now on."""
-        self.repeat(LIST_SECONDS, self._follow_list)
-        self.repeat(LOAD_SECONDS, self._ask_loads)
-        self.repeat(LATE_SECONDS, self._drop_expired)
+        """Start to poll the platform's list and the upstreams' load reports."""
+        self.repeat(LIST_INTERVAL_SECONDS, self._update_list)
+        self.repeat(LOAD_INTERVAL_SECONDS, self._request_loads)
+        self.repeat(EXPIRY_CHECK_INTERVAL_SECONDS, self._drop_expired)
 
-    # Who there is
+    # Discovery
 
-    async def _follow_list(self) -> None:
+    async def _update_list(self) -> None:
         listed = await self._platform.list_instances()
         if listed is not None:
             self.listed = listed
-            self._take_list([one for one in listed if one.role != "entry"])
+            self._apply_list([entry for entry in listed if entry.role != "entry"])
         drained = await self._platform.run(read_drains())
         if not isinstance(drained, Unreachable):
             self.mark_leaving(drained)
 
-    def _take_list(self, listed: list[ListedInstance]) -> None:
-        names = {one.name for one in listed}
-        for one in listed:
-            known = self.known.get(one.name)
-            if known is None or known.url != one.url:
-                self.known[one.name] = Upstream(
-                    one.name, one.role, one.domain, one.url, one.partner
+    def _apply_list(self, listed: list[ListedInstance]) -> None:
+        listed_names = {entry.name for entry in listed}
+        for entry in listed:
+            known = self.known.get(entry.name)
+            if known is None or known.url != entry.url:
+                self.known[entry.name] = Upstream(
+                    entry.name, entry.role, entry.domain, entry.url, entry.partner
                 )
-            if one.state != UpstreamState.LIVE.value:
-                self.mark_leaving([one.name])
-        for name in [one for one in self.known if one not in names]:
+            if entry.state != UpstreamState.LIVE.value:
+                self.mark_leaving([entry.name])
+        for name in [key for key in self.known if key not in listed_names]:
             if self.known[name].running == 0:
                 del self.known[name]
                 self._leaving.discard(name)
@@ -134,7 +135,7 @@
                 self.mark_leaving([name])
 
     def mark_leaving(self, names: Iterable[str]) -> None:
-        """Give upstreams no new work from now on, whoever said that they leave."""
+        """Mark upstreams as leaving, so that they receive no new requests."""
         for name in names:
             self._leaving.add(name)
             upstream = self.known.get(name)
@@ -142,23 +143,23 @@
                 upstream.state = UpstreamState.LEAVING
                 log_event("upstream-leaving", upstream=name)
 
-    def leaving(self) -> tuple[str, ...]:
-        """Return the upstreams known to be leaving."""
+    def list_leaving(self) -> tuple[str, ...]:
+        """Return the names of the known upstreams that are leaving."""
         return tuple(sorted(self._leaving & set(self.known)))
 
-    # What they report
+    # Load reports
 
-    async def _ask_loads(self) -> None:
+    async def _request_loads(self) -> None:
         for upstream in list(self.known.values()):
-            if upstream.name not in self._asking:
-                self._asking.add(upstream.name)
-                spawn(self._ask_load(upstream), "Upstreams")
+            if upstream.name not in self._requesting:
+                self._requesting.add(upstream.name)
+                spawn(self._request_load(upstream), "Upstreams")
 
-    async def _ask_load(self, upstream: Upstream) -> None:
+    async def _request_load(self, upstream: Upstream) -> None:
         try:
             content = await self._engines.read_load(upstream.url)
         finally:
-            self._asking.discard(upstream.name)
+            self._requesting.discard(upstream.name)
         if content is None:
             upstream.circuit.fail(self.clock.seconds())
             return
@@ -173,8 +174,8 @@
 
     def _read_report(self, content: dict[str, Any]) -> LoadReport:
         models = tuple(
-            (str(one["model"]), str(one["version"]))
-            for one in content.get("models", [])
+            (str(model["model"]), str(model["version"]))
+            for model in content.get("models", [])
         )
         return LoadReport(
             tokens=int(content.get("tokens", 0)),
@@ -185,27 +186,27 @@
             boot=str(content.get("boot", "")),
         )
 
-    # Who gets a request
+    # Placement
 
     async def place(
-        self, wish: Wish, priority: Priority, seconds: float
+        self, requirements: UpstreamRequirements, priority: Priority, seconds: float
     ) -> Placement | None:
-        """Find a place for a request, waiting for one if need be.
+        """Take an upstream's slot for a request, and wait for one if necessary.
 
-        :param seconds: how long it may wait
-        :returns: ``None`` if none came free in time or too many wait already
+        :param seconds: maximum wait
+        :returns: ``None`` if no slot becomes free in time or the queue is full
         """
-        placement = self._try_place(wish)
+        placement = self._try_place(requirements)
         if placement is not None:
             return placement
-        entry = _Entry(wish)
+        entry = _PendingPlacement(requirements)
         deadline = self.clock.seconds() + seconds
         if not self._queue.push(Waiting(entry, priority, deadline)):
             return None
         return await entry.placed
 
     def release(self, placement: Placement) -> None:
-        """Give a place back."""
+        """Release the slot of a placement."""
         placement.upstream.end(placement.tokens)
         self._place_waiting()
 
@@ -214,10 +215,10 @@
             entry.placed.callback(None)
 
     def _place_waiting(self) -> None:
-        placed: list[tuple[_Entry, Placement]] = []
+        placed: list[tuple[_PendingPlacement, Placement]] = []
 
-        def start(entry: _Entry) -> bool:
-            placement = self._try_place(entry.wish)
+        def start(entry: _PendingPlacement) -> bool:
+            placement = self._try_place(entry.requirements)
             if placement is None:
                 return False
             placed.append((entry, placement))
@@ -227,39 +228,49 @@
         for entry, placement in placed:
             entry.placed.callback(placement)
 
-    def _try_place(self, wish: Wish) -> Placement | None:
-        version = self._choose_version(wish)
+    def _try_place(self, requirements: UpstreamRequirements) -> Placement | None:
+        version = self._choose_version(requirements)
         if version is None:
             return None
         candidates = [
-            one
-            for one in self.known.values()
-            if self._may_serve(one, wish, version) and one.has_room(wish.work.rank)
+            candidate
+            for candidate in self.known.values()
+            if self._may_serve(candidate, requirements, version)
+            and candidate.has_room(requirements.work.rank)
         ]
-        fresh = [one for one in candidates if one.name not in wish.excluded]
-        local = [one for one in fresh if one.domain == self._domain]
-        chosen_from = self._prefer_local(local, fresh) or candidates
-        if not chosen_from:
+        untried = [
+            candidate
+            for candidate in candidates
+            if candidate.name not in requirements.excluded
+        ]
+        local = [candidate for candidate in untried if candidate.domain == self._domain]
+        eligible = self._prefer_local(local, untried) or candidates
+        if not eligible:
             return None
-        upstream = self._policy.choose(chosen_from, wish.work, self._random)
-        upstream.begin(wish.work.tokens)
-        return Placement(upstream, version, wish.work.tokens)
+        upstream = self._policy.choose(eligible, requirements.work, self._random)
+        upstream.begin(requirements.work.tokens)
+        return Placement(upstream, version, requirements.work.tokens)
 
     def _prefer_local(
-        self, local: list[Upstream], fresh: list[Upstream]
+        self, local: list[Upstream], untried: list[Upstream]
     ) -> list[Upstream]:
-        """Stay in the own domain while it has a free place."""
-        free = [one for one in local if one.running < one.slots]
-        return free or fresh
+        """Return the local upstreams with a free slot, or all untried if none has."""
+        free = [upstream for upstream in local if upstream.running < upstream.slots]
+        return free or untried
+
+    def _choose_version(self, requirements: UpstreamRequirements) -> str | None:
+        """Return the model version for a request.
+
+        A hash of the request's name selects the version in proportion to its share.
 
-    def _choose_version(self, wish: Wish) -> str | None:
-        """Return the version that the request's name falls to, by the shares."""
-        if wish.kind != ENGINE:
+        :returns: an empty string for a service, ``None`` if the model is unknown
+        """
+        if requirements.kind != ENGINE:
             return ""
-        model = self._configuration.document.find(Model, wish.target)
+        model = self._configuration.document.find(Model, requirements.target)
         if model is None:
             return None
-        digest = blake2b(str(wish.request).encode(), digest_size=4).digest()
+        digest = blake2b(str(requirements.request).encode(), digest_size=4).digest()
         point = int.from_bytes(digest, "big") % WHOLE_SHARE
         for version, share in sorted(model.versions.items()):
             if point < share:
@@ -267,44 +278,53 @@
             point -= share
         return None
 
-    def _may_serve(self, upstream: Upstream, wish: Wish, version: str) -> bool:
-        if upstream.kind != wish.kind or upstream.state is not UpstreamState.LIVE:
+    def _may_serve(
+        self, upstream: Upstream, requirements: UpstreamRequirements, version: str
+    ) -> bool:
+        if (
+            upstream.kind != requirements.kind
+            or upstream.state is not UpstreamState.LIVE
+        ):
             return False
         now = self.clock.seconds()
         report = upstream.report
-        if report is None or now - report.received > STALE_SECONDS:
+        if report is None or now - report.received > MAX_REPORT_AGE_SECONDS:
             return False
         if now < upstream.backoff_until or not upstream.circuit.allows(now):
             return False
-        if not upstream.serves(wish.target, version):
+        if not upstream.serves(requirements.target, version):
             return False
-        return self._may_use(upstream, wish)
-
-    def _may_use(self, upstream: Upstream, wish: Wish) -> bool:
-        """Tell whether a partner owns a replica or was lent it."""
-        if upstream.partner in ("", wish.partner) or wish.kind != ENGINE:
+        return self._may_use(upstream, requirements)
+
+    def _may_use(self, upstream: Upstream, requirements: UpstreamRequirements) -> bool:
+        """Return whether a partner owns a replica or borrows it."""
+        if (
+            upstream.partner in ("", requirements.partner)
+            or requirements.kind != ENGINE
+        ):
             return True
         lent = sum(
             loan.replicas
             for loan in self._configuration.document.list(Loan)
-            if loan.model == wish.target
+            if loan.model == requirements.target
             and loan.partner == upstream.partner
-            and loan.borrower == wish.partner
+            and loan.borrower == requirements.partner
         )
         owned = sorted(
-            one.name
-            for one in self.known.values()
-            if one.kind == ENGINE and one.partner == upstream.partner
+            replica.name
+            for replica in self.known.values()
+            if replica.kind == ENGINE and replica.partner == upstream.partner
         )
         return upstream.name in owned[len(owned) - lent :] if lent else False
 
-    def is_served(self, wish: Wish) -> bool:
-        """Tell whether any upstream could serve a request, now or when it is free."""
-        version = self._choose_version(wish)
+    def is_served(self, requirements: UpstreamRequirements) -> bool:
+        """Return whether any upstream can serve a request, disregarding its slots."""
+        version = self._choose_version(requirements)
         return version is not None and any(
-            self._may_serve(one, wish, version) for one in self.known.values()
+            self._may_serve(upstream, requirements, version)
+            for upstream in self.known.values()
         )
 
-    def waiting(self) -> int:
-        """Return how many requests wait for a place."""
+    def count_waiting(self) -> int:
+        """Return the number of queued requests."""
         return len(self._queue)
--- a/packages/pondquay-daemon/src/pondquay_daemon/wire.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/wire.py
@@ -1,7 +1,7 @@
 """Messages between instances as msgpack: ``[version, kind, field, field, ...]``.
 
-Inside a message data classes stand as arrays of their fields, so names are not sent
-again and again. What comes in is validated field by field.
+Data classes inside a message are arrays of their fields without names. Received
+messages are validated field by field.
 """
 
 from __future__ import annotations
@@ -23,9 +23,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Challenge:
-    """The accepting side's first word.
+    """First message of the accepting side.
 
-    :param nonce: random, for this connection only
+    :param nonce: random bytes, unique to the connection
     """
 
     nonce: bytes
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Proof:
-    """The dialling side proves that it knows the fleet's key."""
+    """Proof of the dialling side that it knows the fleet's key."""
 
     name: str
     boot: str
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Welcome:
-    """The accepting side proves the same; messages may follow."""
+    """Proof of the accepting side that it knows the fleet's key; ends the handshake."""
 
     name: str
     boot: str
@@ -61,9 +61,11 @@
 
 
 def _register(*types: type[Any]) -> None:
-    for one in types:
-        kind = next(field.default for field in fields(one) if field.name == "kind")
-        _TYPES[str(kind)] = one
+    for message_type in types:
+        kind = next(
+            field.default for field in fields(message_type) if field.name == "kind"
+        )
+        _TYPES[str(kind)] = message_type
 
 
 _register(
@@ -88,15 +90,15 @@
 
 
 def encode_message(message: Message) -> bytes:
-    """Return the frame of a message."""
+    """Encode a message as a frame."""
     packed: bytes = msgpack.packb([WIRE_VERSION, message.kind, *_pack(message)])
     return packed
 
 
 def decode_message(frame: bytes) -> Message:
-    """Read a frame.
+    """Decode a frame.
 
-    :raises LinkError: if it is no message of this version
+    :raises LinkError: if it is not a valid message of this wire version
     """
     try:
         content = msgpack.unpackb(
@@ -104,12 +106,14 @@
         )
         version, kind, *values = content
     except (ValueError, TypeError, msgpack.UnpackException) as error:
-        raise LinkError(f"broken frame: {error}") from error
+        raise LinkError(f"malformed frame: {error}") from error
     if version != WIRE_VERSION:
-        raise LinkError(f"wire version {version!r} is not {WIRE_VERSION}")
+        raise LinkError(
+            f"wire version {version!r} is not supported, expected {WIRE_VERSION}"
+        )
     message_type = _TYPES.get(kind) if isinstance(kind, str) else None
     if message_type is None:
-        raise LinkError(f"unknown kind {kind!r}")
+        raise LinkError(f"unknown message kind {kind!r}")
     return _unpack(message_type, values)
 
 
@@ -121,7 +125,7 @@
             if field.name != "kind"
         ]
     if isinstance(value, tuple):
-        return [_pack(one) for one in value]
+        return [_pack(item) for item in value]
     return value
 
 
@@ -131,16 +135,16 @@
     origin = get_origin(expected)
     if origin is tuple:
         if not isinstance(value, list):
-            raise LinkError("an array was expected")
-        item = get_args(expected)[0]
-        return tuple(_unpack(item, one) for one in value)
+            raise LinkError("array expected")
+        item_type = get_args(expected)[0]
+        return tuple(_unpack(item_type, item) for item in value)
     if origin in (Union, UnionType):
         if value is None:
             return None
-        inner = [one for one in get_args(expected) if one is not NoneType]
-        return _unpack(inner[0], value)
+        members = [member for member in get_args(expected) if member is not NoneType]
+        return _unpack(members[0], value)
     if type(value) is not expected:
-        raise LinkError(f"{expected.__name__} was expected")
+        raise LinkError(f"{expected.__name__} value expected")
     return value
 
 
@@ -149,8 +153,8 @@
         _HINTS[expected] = get_type_hints(expected)
     names = [field.name for field in fields(expected) if field.name != "kind"]
     if not isinstance(value, list) or len(value) != len(names):
-        raise LinkError(f"{len(names)} fields were expected")
+        raise LinkError(f"{len(names)} fields expected")
     hints = _HINTS[expected]
     return expected(
-        *(_unpack(hints[name], one) for name, one in zip(names, value, strict=True))
+        *(_unpack(hints[name], item) for name, item in zip(names, value, strict=True))
     )
