--- a/packages/pondquay-daemon/src/pondquay_daemon/completionruns.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/completionruns.py
@@ -4,8 +4,8 @@
 
 from typing import TYPE_CHECKING, Any
 
-from pondquay.routing.admission import ORDER
-from pondquay.routing.policies import Work
+from pondquay.routing.admission import PRIORITY_ORDER
+from pondquay.routing.policies import RequestProfile
 from pondquay.routing.upstreams import ENGINE
 from pondquay.streams import Frame, Response, Verdict
 from pondquay_daemon.calls import CachedResponse, Delivered, Refusal
@@ -58,8 +58,8 @@
     ) -> Delivered | Refusal:
         """Run a completion to its end, with retries at other upstreams."""
         while True:
-            rank = ORDER.index(call.priority)
-            work = Work(call.reserve, call.prefix, rank)
+            rank = PRIORITY_ORDER.index(call.priority)
+            work = RequestProfile(call.reserve, call.prefix, rank)
             requirements = UpstreamRequirements(
                 call.request,
                 ENGINE,
@@ -76,7 +76,7 @@
                 await self._run_stream(progress, call, started, response, sink)
             finally:
                 self._attempts.release(started)
-            if response.whole:
+            if response.complete:
                 return await self._finish(progress, call, started, response, sink)
             if response.frames or not self._attempts.may_try_again(progress):
                 return refuse_unfinished(progress)
@@ -103,14 +103,14 @@
         )
 
         def on_frame(frame: Frame) -> None:
-            verdict = response.take(frame)
+            verdict = response.add_frame(frame)
             frame_times.append(self._clock.seconds())
             if verdict is not Verdict.PASS_ON:
                 self._metrics.dropped_frames.labels(verdict.value).inc()
             elif not frame.finish:
                 sink.forward(frame)
 
-        progress.life.dispatch()
+        progress.lifecycle.dispatch()
         stream = started.attempt.stream
         try:
             await self._engines.start(upstream.url, stream, completion, on_frame)
@@ -119,15 +119,15 @@
             return
         except MayHaveRunError as error:
             self._attempts.log_failure(call, started, error)
-        if not response.whole:
+        if not response.complete:
             await self._resume(started, response, on_frame)
-        if response.whole:
+        if response.complete:
             upstream.circuit.succeed()
             if len(frame_times) > 1:
                 upstream.observe_pace(
                     (frame_times[-1] - frame_times[0]) / (len(frame_times) - 1)
                 )
-            progress.life.finish()
+            progress.lifecycle.finish()
             return
         await self._give_up_started(progress, started)
 
@@ -137,7 +137,7 @@
         """Fetch the missing frames of a response from the engine that runs it."""
         url = started.placement.upstream.url
         failures = 0
-        while failures < MAX_RESUMES and not response.whole:
+        while failures < MAX_RESUMES and not response.complete:
             await sleep(RESUME_BACKOFF_SECONDS * failures, self._clock)
             before = response.next_offset
             try:
@@ -159,9 +159,9 @@
         response = await self._engines.cancel(upstream.url, started.attempt.stream)
         status = response.for_boot(started.attempt.boot)
         if status.state is StreamState.CANCELLED and not status.started:
-            progress.life.refuse()
+            progress.lifecycle.mark_not_run()
         else:
-            progress.life.lose()
+            progress.lifecycle.mark_unknown()
         if status.state is StreamState.CANCELLED:
             await self._grants.settle(started.attempt, None)
         elif status.state is StreamState.FINISHED:
--- a/packages/pondquay-daemon/src/pondquay_daemon/peers.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/peers.py
@@ -139,7 +139,7 @@
             return False
         return self.table.is_usable(peer, self.now())
 
-    def is_gone(self, peer: InstanceId) -> bool:
+    def is_presumed_dead(self, peer: InstanceId) -> bool:
         """Return whether a peer is unknown or suspected of having crashed."""
         known = self.table.known.get(peer)
         return known is None or peer in self.table.suspects(self.now())
@@ -205,7 +205,7 @@
     def link_closed(self, peer: InstanceId) -> None:
         """Mark a peer as disconnected and end its pending queries."""
         log_event("peer-disconnected", peer=peer)
-        self.table.disconnect(peer)
+        self.table.note_disconnected(peer)
         for number, query in list(self._queries.items()):
             if query.peer == peer:
                 del self._queries[number]
--- a/packages/pondquay-daemon/src/pondquay_daemon/recovery.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/recovery.py
@@ -34,7 +34,7 @@
 
 if TYPE_CHECKING:
     from pondquay.budgets.holdings import Attempt
-    from pondquay.budgets.programs import StandingGrant
+    from pondquay.budgets.programs import StoredGrant
     from pondquay.budgets.witness import Witness, WitnessedGrant
     from pondquay.membership.messages import FindRequest, FoundRequest
     from pondquay.names import GrantId, InstanceId
@@ -168,7 +168,7 @@
             ):
                 continue
             self._searched[holder] = now
-            await self._platform.run(self.succession.seal_unheard(holder))
+            await self._platform.run(self.succession.seal_unknown_grants(holder))
 
     async def _query_open_attempts(self, grant: WitnessedGrant) -> None:
         """Query engines for the outcome of a dead holder's open attempts."""
@@ -214,10 +214,14 @@
         for stored in grants:
             sealed = stored.row.state is GrantState.SEALED
             holder = stored.grant.holder
-            if sealed and holder != self._instance and self._peers.is_gone(holder):
+            if (
+                sealed
+                and holder != self._instance
+                and self._peers.is_presumed_dead(holder)
+            ):
                 await self._resolve_orphan(stored)
 
-    async def _resolve_orphan(self, stored: StandingGrant) -> None:
+    async def _resolve_orphan(self, stored: StoredGrant) -> None:
         resolutions = []
         bills = []
         for number, held in stored.row.held.items():
@@ -283,7 +287,7 @@
             return None
         response = Response(found.stream)
         await self._replay(upstream.url, response, sink)
-        if not response.whole:
+        if not response.complete:
             if not response.frames and call.repeatable:
                 return None
             return Refusal(
@@ -326,7 +330,7 @@
 
     async def _replay(self, url: str, response: Response, sink: FrameSink) -> None:
         def on_frame(frame: Frame) -> None:
-            response.take(frame)
+            response.add_frame(frame)
             if response.frames and response.frames[-1] is frame and not frame.finish:
                 sink.forward(frame)
 
@@ -337,7 +341,7 @@
                 )
             except (RefusedError, MayHaveRunError):
                 return
-            if response.whole:
+            if response.complete:
                 return
 
     async def _report_settlement(
--- a/packages/pondquay-daemon/src/pondquay_daemon/requestclaims.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/requestclaims.py
@@ -123,7 +123,7 @@
         """
         if not progress.nonce:
             return
-        outcome = progress.life.outcome()
+        outcome = progress.lifecycle.outcome()
         if outcome is Outcome.DONE:
             await self._platform.run(
                 finish_claim(progress.call.request, progress.nonce)
--- a/packages/pondquay-daemon/src/pondquay_daemon/upstreams.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/upstreams.py
@@ -11,8 +11,8 @@
 
 from pondquay.configuration.entities import Loan, Model, Priority
 from pondquay.membership.drains import read_drains
-from pondquay.routing.admission import AdmissionQueue, Waiting
-from pondquay.routing.policies import ROUTING_POLICIES, Work
+from pondquay.routing.admission import AdmissionQueue, QueuedRequest
+from pondquay.routing.policies import ROUTING_POLICIES, RequestProfile
 from pondquay.routing.upstreams import ENGINE, LoadReport, Upstream, UpstreamState
 from pondquay.tables import Unreachable
 from pondquay_daemon.logs import log_event
@@ -30,7 +30,7 @@
 LOAD_INTERVAL_SECONDS = 0.5
 EXPIRY_CHECK_INTERVAL_SECONDS = 0.1
 MAX_REPORT_AGE_SECONDS = 5.0
-WHOLE_SHARE = 100
+TOTAL_SHARE_PERCENT = 100
 MAX_PREFIXES = 2000
 
 
@@ -48,7 +48,7 @@
     kind: str
     target: str
     partner: str
-    work: Work
+    work: RequestProfile
     excluded: frozenset[str] = frozenset()
 
 
@@ -163,7 +163,7 @@
         if content is None:
             upstream.circuit.fail(self.clock.seconds())
             return
-        upstream.take_report(self._read_report(content))
+        upstream.apply_report(self._read_report(content))
         if content.get("leaving"):
             self.mark_leaving([upstream.name])
         for prefix in content.get("cached", []):
@@ -201,7 +201,7 @@
             return placement
         entry = _PendingPlacement(requirements)
         deadline = self.clock.seconds() + seconds
-        if not self._queue.push(Waiting(entry, priority, deadline)):
+        if not self._queue.push(QueuedRequest(entry, priority, deadline)):
             return None
         return await entry.placed
 
@@ -236,7 +236,7 @@
             candidate
             for candidate in self.known.values()
             if self._may_serve(candidate, requirements, version)
-            and candidate.has_room(requirements.work.rank)
+            and candidate.has_capacity(requirements.work.rank)
         ]
         untried = [
             candidate
@@ -271,7 +271,7 @@
         if model is None:
             return None
         digest = blake2b(str(requirements.request).encode(), digest_size=4).digest()
-        point = int.from_bytes(digest, "big") % WHOLE_SHARE
+        point = int.from_bytes(digest, "big") % TOTAL_SHARE_PERCENT
         for version, share in sorted(model.versions.items()):
             if point < share:
                 return version
