--- a/packages/pondquay-standins/src/pondquay_standins/soak/buildspans.py
+++ b/packages/pondquay-standins/src/pondquay_standins/soak/buildspans.py
@@ -5,7 +5,7 @@
 import math
 from typing import TYPE_CHECKING
 
-from pondquay_standins.soak.signs import Disturbance
+from pondquay_standins.soak.upstreamsignals import Disturbance
 
 if TYPE_CHECKING:
     from pondquay_standins.soak.builds import Build
--- a/packages/pondquay-standins/src/pondquay_standins/soak/finalchecks.py
+++ b/packages/pondquay-standins/src/pondquay_standins/soak/finalchecks.py
@@ -10,7 +10,7 @@
 from pondquay_standins.processes import wait_until
 from pondquay_standins.soak.callers import EVENT_TOKENS, PROMPT_TOKENS
 from pondquay_standins.soak.fleet import RELAYS, REPLICAS, TOP_UP_TOKENS
-from pondquay_standins.soak.promises import Breach
+from pondquay_standins.soak.invariants import Breach
 
 if TYPE_CHECKING:
     from pondquay_standins.soak.fleet import SoakFleet
--- a/packages/pondquay-standins/src/pondquay_standins/soak/limits.py
+++ b/packages/pondquay-standins/src/pondquay_standins/soak/limits.py
@@ -10,14 +10,14 @@
 from collections import defaultdict
 from typing import TYPE_CHECKING
 
-from pondquay_standins.soak.promises import Breach
+from pondquay_standins.soak.invariants import Breach
 
 if TYPE_CHECKING:
     from collections.abc import Iterator, Mapping, Sequence
 
     from pondquay_standins.replicas import Arrival
     from pondquay_standins.soak.callers import Call
-    from pondquay_standins.soak.signs import Disturbances
+    from pondquay_standins.soak.upstreamsignals import Disturbances
 
 LIMIT_PROMISE = "relays share what a replica takes from all of them"
 # Seconds after which a limit binds that was named for the first time.
--- a/packages/pondquay-standins/src/pondquay_standins/soak/runs.py
+++ b/packages/pondquay-standins/src/pondquay_standins/soak/runs.py
@@ -31,15 +31,19 @@
     RelayState,
     SoakFleet,
 )
+from pondquay_standins.soak.invariants import Breach, check_all
 from pondquay_standins.soak.limits import check_limits
-from pondquay_standins.soak.promises import Breach, check_all
 from pondquay_standins.soak.schedules import (
     FaultKind,
     PlannedFault,
     plan_faults,
     plan_rolling,
 )
-from pondquay_standins.soak.signs import Disturbance, Disturbances, check_signs
+from pondquay_standins.soak.upstreamsignals import (
+    Disturbance,
+    Disturbances,
+    check_signs,
+)
 
 if TYPE_CHECKING:
     from collections.abc import Callable
--- a/packages/pondquay-standins/src/pondquay_standins/soak/signs.py
+++ b/packages/pondquay-standins/src/pondquay_standins/soak/upstreamsignals.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from pondquay_standins.soak.promises import Breach
+from pondquay_standins.soak.invariants import Breach
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping, Sequence
--- a/packages/pondquay-standins/tests/soak/test_buildspans.py
+++ b/packages/pondquay-standins/tests/soak/test_buildspans.py
@@ -12,7 +12,7 @@
 )
 from pondquay_standins.soak.buildspans import BuildSpans
 from pondquay_standins.soak.schedules import FaultKind, plan_rolling
-from pondquay_standins.soak.signs import Disturbance
+from pondquay_standins.soak.upstreamsignals import Disturbance
 
 FORMER = Build("former", {"PYTHONPATH": "there"}, shares_limits=False)
 
--- a/packages/pondquay-standins/tests/soak/test_limits.py
+++ b/packages/pondquay-standins/tests/soak/test_limits.py
@@ -7,7 +7,7 @@
 from pondquay_standins.replicas import Arrival
 from pondquay_standins.soak.callers import Call
 from pondquay_standins.soak.limits import check_limits
-from pondquay_standins.soak.signs import Disturbance, Disturbances
+from pondquay_standins.soak.upstreamsignals import Disturbance, Disturbances
 
 QUIET = Disturbances([])
 # A limit of 1 a second allows this many in the window that is judged.
--- a/packages/pondquay-standins/tests/soak/test_soak.py
+++ b/packages/pondquay-standins/tests/soak/test_soak.py
@@ -6,7 +6,7 @@
 
 from pondquay_standins.soak.__main__ import main, parse_seeds
 from pondquay_standins.soak.callers import PROMPT_TOKENS, Call
-from pondquay_standins.soak.promises import check_all, check_call
+from pondquay_standins.soak.invariants import check_all, check_call
 from pondquay_standins.soak.runs import PlannedStop
 from pondquay_standins.soak.schedules import ROLLING_KINDS, FaultKind, plan_faults
 
--- a/packages/pondquay-standins/tests/soak/test_signs.py
+++ b/packages/pondquay-standins/tests/soak/test_upstreamsignals.py
@@ -4,7 +4,7 @@
 
 from pondquay_standins.replicas import Arrival
 from pondquay_standins.soak.callers import Call
-from pondquay_standins.soak.signs import (
+from pondquay_standins.soak.upstreamsignals import (
     BACKOFF_PROMISE,
     LEAVING_PROMISE,
     Disturbance,
