--- a/packages/pondquay-lab/src/pondquay_lab/experiment/results.py
+++ b/packages/pondquay-lab/src/pondquay_lab/experiment/results.py
@@ -14,7 +14,7 @@
     from collections.abc import Iterable, Mapping, Sequence
     from pathlib import Path
 
-    from pondquay_lab.experiment.plays import Case, Play, Report
+    from pondquay_lab.experiment.dayruns import Case, Play, Report
 
 # Part of the differences' distribution that the interval holds.
 CONFIDENCE = 0.95
