--- a/packages/pondquay-cli/src/pondquay_cli/__main__.py
+++ b/packages/pondquay-cli/src/pondquay_cli/__main__.py
@@ -21,19 +21,19 @@
 
 OPERATORS_VARIABLE = "PONDQUAY_OPERATORS"
 KEY_FILE_VARIABLE = "PONDQUAY_KEY_FILE"
-STATUSES = """exit status: 0 done; 1 refused; 2 invalid arguments or intent;
-3 no operator endpoint could do it; 4 confirmed, but another partner's consent is
-missing"""
+EXIT_STATUS_HELP = """exit status: 0 done; 1 refused; 2 invalid arguments or intent;
+3 no operator endpoint could handle the request; 4 confirmed, but another partner's
+consent is missing"""
 
 __all__ = ["commands", "main"]
 
 
 def make_parser() -> ArgumentParser:
-    """Return the parser of the command's arguments."""
+    """Return the parser of the command line."""
     parser = ArgumentParser(
         prog="pondquay",
         description="Operate a pondquay fleet.",
-        epilog=STATUSES,
+        epilog=EXIT_STATUS_HELP,
         formatter_class=RawDescriptionHelpFormatter,
     )
     parser.add_argument(
@@ -52,17 +52,17 @@
     actions = parser.add_subparsers(dest="command", required=True, metavar="COMMAND")
     for name in COMMANDS.names():
         command = COMMANDS.create(name)
-        own = actions.add_parser(
+        subparser = actions.add_parser(
             name, help=command.help, epilog=f"example: {command.example}"
         )
-        command.add_arguments(own)
+        command.add_arguments(subparser)
     return parser
 
 
 def make_client(reactor: Any, options: Namespace) -> OperatorClient:
-    """Return a client with the endpoints and the key that were given.
+    """Return a client for the endpoints and the key from options or environment.
 
-    :raises InvalidUsageError: if one is missing
+    :raises InvalidUsageError: if no endpoint or no readable key file is configured
     """
     urls = options.operator or os.environ.get(OPERATORS_VARIABLE, "").split()
     if not urls:
@@ -78,13 +78,13 @@
 
 
 async def run_command(reactor: Any, options: Namespace) -> int:
-    """Run the command that was given and return its exit status."""
+    """Run the selected command and return its exit status."""
     try:
         command = COMMANDS.create(options.command)
         if isinstance(command, LocalCommand):
             result = command.run(options)
         elif isinstance(command, ReportsCommand):
-            # Reports are not secret, so no key is sent for them.
+            # Relay reports are public, so no key is sent.
             result = await command.run(
                 OperatorClient(reactor, options.reports, ""), options
             )
@@ -98,7 +98,7 @@
 
 
 def main(arguments: list[str] | None = None) -> None:
-    """Run the command and exit with its status."""
+    """Run the command line and exit with the command's status."""
     options = make_parser().parse_args(arguments)
 
     def start(reactor: Any) -> Coroutine[Any, Any, None]:
--- a/packages/pondquay-cli/src/pondquay_cli/client.py
+++ b/packages/pondquay-cli/src/pondquay_cli/client.py
@@ -1,4 +1,4 @@
-"""The client of the operator endpoint; it tries one instance after another."""
+"""HTTP client for operator endpoints, with failover from one to the next."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 CONNECT_SECONDS = 2.0
 RESPONSE_SECONDS = 15.0
-FIRST_ERROR = 400
-UNAVAILABLE = 503
+FIRST_ERROR_STATUS = 400
+UNAVAILABLE_STATUS = 503
 
 
 class OperatorClient:
-    """Calls to operator endpoints, all of which are alike.
+    """Client that sends a request to the first operator endpoint that can handle it.
 
     :param urls: endpoints in the order in which they are tried
     :param key: the partner's operator key
@@ -32,35 +32,37 @@
         self._http = treq.client.HTTPClient(agent)
 
     async def get(self, path: str) -> Any:
-        """Read something.
+        """Return the JSON content at a path.
 
-        :raises RefusedError: if the endpoint refuses
-        :raises UnreachableError: if no endpoint answers
+        :raises RefusedError: if the endpoint refuses the request
+        :raises UnreachableError: if no endpoint can handle the request
         """
         return await self._call("GET", path, None)
 
     async def list_responses(self, path: str) -> list[Any]:
-        """Read something from every endpoint that answers.
+        """Return the JSON content at a path from every endpoint that responds.
 
-        :raises UnreachableError: if none does
+        :raises UnreachableError: if no endpoint responds
         """
         responses = []
         for url in self._urls:
             try:
-                status, content = await self._call_one("GET", url + path, None)
-            except Exception:  # a endpoint that does not answer is left out
+                status, content = await self._send_request("GET", url + path, None)
+            except Exception:  # Unreachable endpoints are left out.
                 continue
-            if status < FIRST_ERROR:
+            if status < FIRST_ERROR_STATUS:
                 responses.append(content)
         if not responses:
-            raise UnreachableError("no operator endpoint answered")
+            raise UnreachableError("no operator endpoint responded")
         return responses
 
     async def post(self, path: str, body: object) -> Any:
-        """Ask for something; every such request may be sent twice without harm.
+        """Post a request and return the JSON content of the response.
 
-        :raises RefusedError: if the endpoint refuses
-        :raises UnreachableError: if no endpoint answers
+        Requests must be idempotent, since a failed one is sent to the next endpoint.
+
+        :raises RefusedError: if the endpoint refuses the request
+        :raises UnreachableError: if no endpoint can handle the request
         """
         return await self._call("POST", path, body)
 
@@ -68,34 +70,36 @@
         failures = []
         for url in self._urls:
             try:
-                status, content = await self._call_one(method, url + path, body)
-            except Exception as error:  # whatever it was, the next endpoint may answer
+                status, content = await self._send_request(method, url + path, body)
+            except Exception as error:  # After any failure the next endpoint is tried.
                 failures.append(f"{url}: {error or type(error).__name__}")
                 continue
-            if status == UNAVAILABLE:
-                failures.append(f"{url}: {_describe(content)}")
+            if status == UNAVAILABLE_STATUS:
+                failures.append(f"{url}: {_describe_error(content)}")
                 continue
-            if status >= FIRST_ERROR:
-                raise RefusedError(_describe(content))
+            if status >= FIRST_ERROR_STATUS:
+                raise RefusedError(_describe_error(content))
             return content
         raise UnreachableError(
-            "no operator endpoint could do it\n" + "\n".join(failures)
+            "no operator endpoint could handle the request\n" + "\n".join(failures)
         )
 
-    async def _call_one(self, method: str, url: str, body: object) -> tuple[int, Any]:
+    async def _send_request(
+        self, method: str, url: str, body: object
+    ) -> tuple[int, Any]:
         headers: dict[bytes | str, bytes | str] = {
             "Authorization": f"Bearer {self._key}"
         }
-        # Without a body none is sent, not even an empty value.
-        content: dict[str, Any] = {} if body is None else {"json": body}
+        # Passing json=None would send the JSON value null as the body.
+        body_arguments: dict[str, Any] = {} if body is None else {"json": body}
         response = await self._http.request(
-            method, url, headers=headers, timeout=RESPONSE_SECONDS, **content
+            method, url, headers=headers, timeout=RESPONSE_SECONDS, **body_arguments
         )
         return response.code, await treq.json_content(response)
 
 
-def _describe(content: Any) -> str:
-    """Return the text of an error in the usual envelope."""
+def _describe_error(content: Any) -> str:
+    """Return the text of an error response, or the raw content if it has none."""
     try:
         error = content["error"]
         findings = error.get("findings")
--- a/packages/pondquay-cli/src/pondquay_cli/commands/__init__.py
+++ b/packages/pondquay-cli/src/pondquay_cli/commands/__init__.py
@@ -1,4 +1,4 @@
-"""The commands; each registers itself when its module is imported."""
+"""The commands; importing a command's module registers it."""
 
 from __future__ import annotations
 
--- a/packages/pondquay-cli/src/pondquay_cli/commands/base.py
+++ b/packages/pondquay-cli/src/pondquay_cli/commands/base.py
@@ -1,4 +1,4 @@
-"""The interface of commands, and the registry they announce themselves in."""
+"""Base classes of commands, and the registry of commands."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
 @dataclass(frozen=True, slots=True)
 class CommandResult:
-    """What a command has to say.
+    """The output and exit status of a command.
 
-    :param content: for ``--json``
-    :param text: for people
-    :param status: the exit status
+    :param content: value that ``--json`` writes
+    :param text: text that is printed without ``--json``
+    :param status: exit status
     """
 
     content: Any
@@ -29,17 +29,17 @@
 
 
 class Command(ABC):
-    """One command.
+    """Base class of commands.
 
-    :cvar help: one line that says what it does
-    :cvar example: one line that shows its use
+    :cvar help: one-line description for the help text
+    :cvar example: example command line for the help text
     """
 
     help: ClassVar[str]
     example: ClassVar[str]
 
     def add_arguments(self, parser: ArgumentParser) -> None:  # noqa: B027
-        """Add the command's own arguments; most have none."""
+        """Add the command's arguments, if it takes any."""
 
 
 class OperatorCommand(Command):
@@ -47,31 +47,31 @@
 
     @abstractmethod
     async def run(self, client: OperatorClient, options: Namespace) -> CommandResult:
-        """Do it.
+        """Run the command and return its result.
 
-        :raises CommandError: if it cannot be done
+        :raises CommandError: if the command fails
         """
 
 
 class ReportsCommand(Command):
-    """A command that reads relays' reports, at the addresses that it is given."""
+    """A command that reads the reports of relays, whose URLs are arguments."""
 
     @abstractmethod
     async def run(self, client: OperatorClient, options: Namespace) -> CommandResult:
-        """Do it.
+        """Run the command and return its result.
 
-        :raises CommandError: if it cannot be done
+        :raises CommandError: if the command fails
         """
 
 
 class LocalCommand(Command):
-    """A command that needs no fleet."""
+    """A command that makes no network calls."""
 
     @abstractmethod
     def run(self, options: Namespace) -> CommandResult:
-        """Do it.
+        """Run the command and return its result.
 
-        :raises CommandError: if it cannot be done
+        :raises CommandError: if the command fails
         """
 
 
--- a/packages/pondquay-cli/src/pondquay_cli/commands/bill.py
+++ b/packages/pondquay-cli/src/pondquay_cli/commands/bill.py
@@ -1,4 +1,4 @@
-"""``pondquay bill WORKSPACE``: what a workspace was billed, request by request."""
+"""``pondquay bill WORKSPACE``: show the billed tokens of a workspace by request."""
 
 from __future__ import annotations
 
@@ -17,24 +17,28 @@
 
 @COMMANDS.register("bill")
 class BillCommand(OperatorCommand):
-    """Shows the ledger of one workspace."""
+    """Show the ledger of one workspace."""
 
-    help = "show what a workspace was billed, request by request"
+    help = "show the billed tokens of a workspace by request"
     example = "pondquay bill captions"
 
     def add_arguments(self, parser: ArgumentParser) -> None:
-        """Add the workspace's name."""
+        """Add the argument for the workspace's name."""
         parser.add_argument("workspace", metavar="WORKSPACE")
 
     async def run(self, client: OperatorClient, options: Namespace) -> CommandResult:
-        """Show it."""
+        """Return the workspace's billed requests and their total."""
         content = await client.get(f"/bills/{options.workspace}")
         rows = [
-            {"request": key, "tokens": one["tokens"], "attempts": len(one["attempts"])}
-            for key, one in content["requests"].items()
+            {
+                "request": key,
+                "tokens": entry["tokens"],
+                "attempts": len(entry["attempts"]),
+            }
+            for key, entry in content["requests"].items()
         ]
         total = (
             f"\nbilled {content['billed']}, not yet in the ledger: "
-            f"{sum(one['tokens'] for one in content['pending'])}"
+            f"{sum(entry['tokens'] for entry in content['pending'])}"
         )
         return CommandResult(content, format_table(COLUMNS, rows) + total)
--- a/packages/pondquay-cli/src/pondquay_cli/commands/budgets.py
+++ b/packages/pondquay-cli/src/pondquay_cli/commands/budgets.py
@@ -1,4 +1,4 @@
-"""``pondquay budgets``: limits, what is granted, billed and held."""
+"""``pondquay budgets``: show limits and granted, billed and held tokens."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
 
 @COMMANDS.register("budgets")
 class BudgetsCommand(OperatorCommand):
-    """Shows the budgets of the operator's partner, in tokens."""
+    """Show the budgets of the operator's partner, in tokens."""
 
-    help = "show each budget: its limit, what is granted, billed and held"
+    help = "show each budget with its limit and its granted, billed and held tokens"
     example = "pondquay budgets --json"
 
     async def run(self, client: OperatorClient, options: Namespace) -> CommandResult:
-        """Show them."""
+        """Return the partner's budgets."""
         content = await client.get("/budgets")
         return CommandResult(content, format_table(COLUMNS, content["budgets"]))
--- a/packages/pondquay-cli/src/pondquay_cli/commands/confirm.py
+++ b/packages/pondquay-cli/src/pondquay_cli/commands/confirm.py
@@ -1,4 +1,4 @@
-"""``pondquay confirm PLAN``: agree to a plan, and put it in force if all have."""
+"""``pondquay confirm PLAN``: confirm a plan, so that it can take effect."""
 
 from __future__ import annotations
 
@@ -15,21 +15,24 @@
 
 @COMMANDS.register("confirm")
 class ConfirmCommand(OperatorCommand):
-    """Confirms one plan; confirming twice is confirming once."""
+    """Confirm a plan; this is idempotent."""
 
-    help = "confirm a plan; it takes effect once all partners concerned have"
+    help = "confirm a plan; it takes effect once all partners concerned have consented"
     example = "pondquay confirm 3f9c2a1b7d"
 
     def add_arguments(self, parser: ArgumentParser) -> None:
-        """Add the plan's name."""
+        """Add the argument for the plan's id."""
         parser.add_argument("plan", metavar="PLAN")
 
     async def run(self, client: OperatorClient, options: Namespace) -> CommandResult:
-        """Confirm it and say what came of that."""
+        """Confirm the plan and return its version or the consents still missing."""
         outcome = await client.post(f"/plans/{options.plan}/confirm", {})
         if outcome["state"] == "confirmed":
             text = f"in force as version {outcome['version']}"
             return CommandResult(outcome, text)
         missing = ", ".join(outcome["missing"])
-        text = f"noted; the consent of {missing} is missing, nothing takes effect yet"
+        text = (
+            f"confirmation recorded; the consent of {missing} is missing, "
+            "so the plan does not take effect yet"
+        )
         return CommandResult(outcome, text, EXIT_CONSENT_MISSING)
--- a/packages/pondquay-cli/src/pondquay_cli/commands/drain.py
+++ b/packages/pondquay-cli/src/pondquay_cli/commands/drain.py
@@ -1,4 +1,4 @@
-"""``pondquay drain UPSTREAM``: give an upstream no new work."""
+"""``pondquay drain UPSTREAM``: stop sending new requests to an upstream."""
 
 from __future__ import annotations
 
@@ -14,19 +14,22 @@
 
 @COMMANDS.register("drain")
 class DrainCommand(OperatorCommand):
-    """Drains one upstream."""
+    """Drain one upstream."""
 
-    help = "give an upstream no new work; what it runs goes on to its end"
+    help = "stop sending new requests to an upstream; running ones are completed"
     example = "pondquay drain engine-hall-a-1"
 
     def add_arguments(self, parser: ArgumentParser) -> None:
-        """Add the upstream's name."""
+        """Add the argument for the upstream's name."""
         parser.add_argument("upstream", metavar="UPSTREAM")
 
     async def run(self, client: OperatorClient, options: Namespace) -> CommandResult:
-        """Drain it."""
+        """Drain the upstream and return whether the platform has stored it."""
         content = await client.post(f"/upstreams/{options.upstream}/drain", {})
-        text = f"{options.upstream} gets nothing new"
+        text = f"{options.upstream} gets no new requests"
         if not content["stored"]:
-            text += "; the platform does not answer, so only live instances know"
+            text += (
+                "; the platform is unreachable, so instances that start later do not "
+                "know of it"
+            )
         return CommandResult(content, text)
--- a/packages/pondquay-cli/src/pondquay_cli/commands/dump.py
+++ b/packages/pondquay-cli/src/pondquay_cli/commands/dump.py
@@ -1,4 +1,4 @@
-"""``pondquay dump INSTANCE``: the whole state of one instance."""
+"""``pondquay dump INSTANCE``: dump the whole state of one instance."""
 
 from __future__ import annotations
 
@@ -16,24 +16,26 @@
 
 @COMMANDS.register("dump")
 class DumpCommand(OperatorCommand):
-    """Dumps the state of one instance."""
+    """Dump the state of one instance."""
 
-    help = "dump the state of one instance, whose endpoint must be among those given"
+    help = (
+        "dump the state of an instance; its endpoint must be among the --operator URLs"
+    )
     example = "pondquay dump khuree-a1"
 
     def add_arguments(self, parser: ArgumentParser) -> None:
-        """Add the instance's name."""
+        """Add the argument for the instance's name."""
         parser.add_argument("instance", metavar="INSTANCE")
 
     async def run(self, client: OperatorClient, options: Namespace) -> CommandResult:
-        """Dump it.
+        """Return the state of the instance.
 
-        :raises InvalidUsageError: if no endpoint that answers is that instance's
+        :raises InvalidUsageError: if no endpoint that responds belongs to the instance
         """
         dumps = await client.list_responses("/dump")
-        names = {one["instance"].partition("~")[0]: one for one in dumps}
-        content = names.get(options.instance)
+        by_name = {dump["instance"].partition("~")[0]: dump for dump in dumps}
+        content = by_name.get(options.instance)
         if content is None:
-            known = ", ".join(sorted(names))
-            raise InvalidUsageError(f"the endpoints that answer are those of {known}")
+            known = ", ".join(sorted(by_name))
+            raise InvalidUsageError(f"the endpoints that respond are those of {known}")
         return CommandResult(content, json.dumps(content, indent=2))
--- a/packages/pondquay-cli/src/pondquay_cli/commands/explain.py
+++ b/packages/pondquay-cli/src/pondquay_cli/commands/explain.py
@@ -1,4 +1,4 @@
-"""``pondquay explain REQUEST FILE...``: one request's story, from log files."""
+"""``pondquay explain REQUEST FILE...``: show the log events of one request."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 
 @COMMANDS.register("explain")
 class ExplainCommand(LocalCommand):
-    """Tells what happened to a request, and what its instance believed then."""
+    """Show a request's events and the related events of its instances."""
 
-    help = "tell one request's story from log files, in order"
+    help = "show the events of one request from log files, in order of time"
     example = "pondquay explain 9c41d07be2a35f68 logs/*.log"
 
     def add_arguments(self, parser: ArgumentParser) -> None:
-        """Add the request and the files."""
+        """Add the arguments for the request, the log files and the time span."""
         parser.add_argument("request", metavar="REQUEST", help="the id of the request")
         parser.add_argument("files", metavar="FILE", nargs="+", type=Path)
         parser.add_argument(
@@ -33,28 +33,28 @@
             type=float,
             default=AROUND_SECONDS,
             metavar="SECONDS",
-            help="how long before and after it changes of belief are told",
+            help="how long before and after the request related events are shown",
         )
 
     def run(self, options: Namespace) -> CommandResult:
-        """Tell it.
+        """Return the request's events and those related to it.
 
         :raises InvalidUsageError: if a file cannot be read
         """
-        events = [one for path in options.files for one in _read(path)]
-        story = find_request_events(events, options.request, options.around)
-        if not story:
+        events = [event for path in options.files for event in _read_log(path)]
+        found = find_request_events(events, options.request, options.around)
+        if not found:
             text = f"no event of {options.request} in {len(events)} events"
             return CommandResult([], text, EXIT_REFUSED)
         content = [
-            {"time": one.time, "instance": one.instance, "event": one.event}
-            | dict(one.fields)
-            for one in story
+            {"time": event.time, "instance": event.instance, "event": event.event}
+            | dict(event.fields)
+            for event in found
         ]
-        return CommandResult(content, "\n".join(one.describe() for one in story))
+        return CommandResult(content, "\n".join(event.describe() for event in found))
 
 
-def _read(path: Path) -> list[LogEvent]:
+def _read_log(path: Path) -> list[LogEvent]:
     try:
         with path.open(encoding="utf-8", errors="replace") as file:
             return list(read_events(file, path.stem))
--- a/packages/pondquay-cli/src/pondquay_cli/commands/plan.py
+++ b/packages/pondquay-cli/src/pondquay_cli/commands/plan.py
@@ -1,4 +1,4 @@
-"""``pondquay plan FILE.ini``: turn an intent into a plan."""
+"""``pondquay plan FILE.ini``: make a plan from an intent."""
 
 from __future__ import annotations
 
@@ -19,19 +19,19 @@
 
 @COMMANDS.register("plan")
 class PlanCommand(OperatorCommand):
-    """States an intent; nothing takes effect."""
+    """Make a plan from an intent file; it changes nothing until it is confirmed."""
 
-    help = "state an intent and see the plan of what it would change"
+    help = "make a plan from an intent and show what it would change"
     example = "pondquay plan captions.ini"
 
     def add_arguments(self, parser: ArgumentParser) -> None:
-        """Add the file's name."""
+        """Add the argument for the intent file."""
         parser.add_argument("file", type=Path, metavar="FILE.ini")
 
     async def run(self, client: OperatorClient, options: Namespace) -> CommandResult:
-        """Read the file, have the plan made, and show it.
+        """Read the intent, request a plan for it, and return the plan.
 
-        :raises CommandError: with all findings in the file
+        :raises InvalidUsageError: if the file cannot be read or has findings
         """
         path: Path = options.file
         try:
@@ -44,7 +44,7 @@
         except InvalidInputError as error:
             raise InvalidUsageError(str(error)) from error
         body = {
-            "wanted": [one.model_dump(mode="json") for one in intent.wanted],
+            "wanted": [entity.model_dump(mode="json") for entity in intent.wanted],
             "removed": list(intent.removed),
         }
         plan = await client.post("/plans", body)
--- a/packages/pondquay-cli/src/pondquay_cli/commands/plans.py
+++ b/packages/pondquay-cli/src/pondquay_cli/commands/plans.py
@@ -17,13 +17,13 @@
 
 @COMMANDS.register("plans")
 class PlansCommand(OperatorCommand):
-    """Lists all plans."""
+    """List all plans."""
 
-    help = "list plans and what became of them"
+    help = "list plans with their state"
     example = "pondquay plans"
 
     async def run(self, client: OperatorClient, options: Namespace) -> CommandResult:
-        """List them."""
+        """Return all plans, each with the number of its changes."""
         content = await client.get("/plans")
-        rows = [{**one, "changes": len(one["changes"])} for one in content["plans"]]
+        rows = [{**plan, "changes": len(plan["changes"])} for plan in content["plans"]]
         return CommandResult(content, format_table(COLUMNS, rows))
--- a/packages/pondquay-cli/src/pondquay_cli/commands/relays.py
+++ b/packages/pondquay-cli/src/pondquay_cli/commands/relays.py
@@ -1,4 +1,4 @@
-"""``pondquay relays URL...``: what relays know of the platform, side by side."""
+"""``pondquay relays URL...``: show the state of several relays side by side."""
 
 from __future__ import annotations
 
@@ -12,6 +12,7 @@
 
     from pondquay_cli.client import OperatorClient
 
+# "emptied" shows evacuated domains, "refused" the number of blocked contents.
 COLUMNS = (
     "instance",
     "domain",
@@ -27,30 +28,30 @@
 
 @COMMANDS.register("relays")
 class RelaysCommand(ReportsCommand):
-    """Shows what each relay knows of configuration, domains, rows and crashes."""
+    """Show each relay's configuration, evacuated domains, rows and crashes."""
 
-    help = "show what relays know: configuration, emptied domains, unusable rows"
+    help = "show relays' configuration, evacuated domains and malformed rows"
     example = "pondquay relays http://10.1.0.40:9464 http://10.2.0.29:9464"
 
     def add_arguments(self, parser: ArgumentParser) -> None:
-        """Add the relays' addresses."""
+        """Add the argument for the relays' URLs."""
         parser.add_argument(
             "reports",
             metavar="URL",
             nargs="+",
-            help="where a relay serves its reports (--reports-port)",
+            help="the URL at which a relay serves its reports (--reports-port)",
         )
 
     async def run(self, client: OperatorClient, options: Namespace) -> CommandResult:
-        """Show it; relays that do not answer are left out."""
+        """Return a row for each relay that responds, and all malformed rows."""
         dumps = await client.list_responses("/dump")
-        rows = [summarize(one) for one in dumps]
+        rows = [summarize(dump) for dump in dumps]
         text = format_table(COLUMNS, rows)
         return CommandResult(rows, "\n".join([text, *list_malformed(dumps)]))
 
 
 def summarize(dump: dict[str, Any]) -> dict[str, Any]:
-    """Return one relay's line."""
+    """Return the table row of one relay."""
     return {
         "instance": dump["instance"],
         "domain": dump["domain"],
@@ -65,8 +66,8 @@
 
 
 def list_malformed(dumps: list[dict[str, Any]]) -> list[str]:
-    """Return a line for each row that some relay cannot use."""
-    wrong: dict[str, str] = {}
+    """Return a line for each stored row that a relay cannot parse, with the error."""
+    malformed: dict[str, str] = {}
     for dump in dumps:
-        wrong.update(dump["malformed"])
-    return [f"row {row}: {error}" for row, error in sorted(wrong.items())]
+        malformed.update(dump["malformed"])
+    return [f"row {row}: {error}" for row, error in sorted(malformed.items())]
--- a/packages/pondquay-cli/src/pondquay_cli/commands/show.py
+++ b/packages/pondquay-cli/src/pondquay_cli/commands/show.py
@@ -15,16 +15,16 @@
 
 @COMMANDS.register("show")
 class ShowCommand(OperatorCommand):
-    """Shows one plan."""
+    """Show one plan."""
 
     help = "show a plan with each of its changes"
     example = "pondquay show 3f9c2a1b7d"
 
     def add_arguments(self, parser: ArgumentParser) -> None:
-        """Add the plan's name."""
+        """Add the argument for the plan's id."""
         parser.add_argument("plan", metavar="PLAN")
 
     async def run(self, client: OperatorClient, options: Namespace) -> CommandResult:
-        """Show it."""
+        """Return the plan."""
         plan = await client.get(f"/plans/{options.plan}")
         return CommandResult(plan, format_plan(plan))
--- a/packages/pondquay-cli/src/pondquay_cli/commands/status.py
+++ b/packages/pondquay-cli/src/pondquay_cli/commands/status.py
@@ -1,4 +1,4 @@
-"""``pondquay status``: the instances and the version in force at each."""
+"""``pondquay status``: show instances and the configuration version of each."""
 
 from __future__ import annotations
 
@@ -12,23 +12,24 @@
 
     from pondquay_cli.client import OperatorClient
 
+# "heard_seconds_ago" is the time since the last message from an instance.
 COLUMNS = ("name", "domain", "state", "version", "behind", "heard_seconds_ago")
 
 
 @COMMANDS.register("status")
 class StatusCommand(OperatorCommand):
-    """Shows the fleet as one of its instances sees it."""
+    """Show the fleet as one of its instances sees it."""
 
-    help = "show the instances, the version in force, and who is behind"
+    help = "show the instances, the version in force, and which instances are behind"
     example = "pondquay status"
 
     async def run(self, client: OperatorClient, options: Namespace) -> CommandResult:
-        """Show it."""
+        """Return the instances, each with the number of versions it is behind."""
         content = await client.get("/status")
-        newest = max(one["version"] for one in content["instances"])
+        newest = max(instance["version"] for instance in content["instances"])
         rows = [
-            {**one, "behind": newest - one["version"] or None}
-            for one in content["instances"]
+            {**instance, "behind": newest - instance["version"] or None}
+            for instance in content["instances"]
         ]
         reachable = "answers" if content["platform_reachable"] else "does not answer"
         text = f"version {newest}, the platform {reachable}\n"
--- a/packages/pondquay-cli/src/pondquay_cli/commands/upstreams.py
+++ b/packages/pondquay-cli/src/pondquay_cli/commands/upstreams.py
@@ -1,4 +1,4 @@
-"""``pondquay upstreams``: the upstreams as one instance sees them."""
+"""``pondquay upstreams``: show the upstreams as one instance sees them."""
 
 from __future__ import annotations
 
@@ -17,16 +17,21 @@
 
 @COMMANDS.register("upstreams")
 class UpstreamsCommand(OperatorCommand):
-    """Lists upstreams."""
+    """List the upstreams of the fleet."""
 
     help = "list upstreams with their state and load"
     example = "pondquay upstreams"
 
     async def run(self, client: OperatorClient, options: Namespace) -> CommandResult:
-        """List them."""
+        """Return the upstreams by name, each with the models it serves."""
         content = await client.get("/upstreams")
         rows = [
-            {**one, "serves": ["@".join(pair).rstrip("@") for pair in one["serves"]]}
-            for one in sorted(content["upstreams"], key=lambda one: str(one["name"]))
+            {
+                **upstream,
+                "serves": ["@".join(pair).rstrip("@") for pair in upstream["serves"]],
+            }
+            for upstream in sorted(
+                content["upstreams"], key=lambda upstream: str(upstream["name"])
+            )
         ]
         return CommandResult(content, format_table(COLUMNS, rows))
--- a/packages/pondquay-cli/src/pondquay_cli/errors.py
+++ b/packages/pondquay-cli/src/pondquay_cli/errors.py
@@ -1,4 +1,4 @@
-"""Exceptions of the command line, each with the exit status it leads to."""
+"""Exit statuses of the command line, and exceptions that map to them."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class CommandError(Exception):
-    """Base of every error that ends a command.
+    """Base class of errors that end a command.
 
     :cvar status: the command's exit status
     """
@@ -19,7 +19,7 @@
 
 
 class RefusedError(CommandError):
-    """The operator endpoint refused."""
+    """The operator endpoint refused the request."""
 
 
 class InvalidUsageError(CommandError):
@@ -29,6 +29,6 @@
 
 
 class UnreachableError(CommandError):
-    """No operator endpoint answered, or none could do it now."""
+    """No operator endpoint responded, or none is able to handle the request now."""
 
     status = EXIT_UNREACHABLE
--- a/packages/pondquay-cli/src/pondquay_cli/logfiles.py
+++ b/packages/pondquay-cli/src/pondquay_cli/logfiles.py
@@ -1,4 +1,4 @@
-"""Log lines of instances, and the story of one request among them."""
+"""Parsing of instances' log files, and the events related to one request."""
 
 from __future__ import annotations
 
@@ -12,8 +12,9 @@
 
 FIELD = re.compile(r'([\w-]+)=("(?:[^"\\]|\\.)*"|\S*)')
 START = "time="
-# What an instance believes of others changes with these, whoever asks.
-BELIEFS = frozenset(
+# Events that change what an instance knows of its peers and dependencies. They matter
+# to every request at the instance.
+INSTANCE_STATE_EVENTS = frozenset(
     {
         "started",
         "stopping",
@@ -26,16 +27,18 @@
         "lines-left-out",
     }
 )
-# These matter where they are about the request's upstream or workspace.
-ABOUT = ("upstream", "workspace")
+# Fields by which an event without a request id is related to a request.
+SUBJECT_FIELDS = ("upstream", "workspace")
 
 
 @dataclass(frozen=True, slots=True)
 class LogEvent:
-    """One line of a log.
+    """One event read from a log line.
 
-    :param time: seconds, by the clock of the instance that wrote it
-    :param instance: who wrote it
+    :param time: seconds, by the clock of the instance that wrote the line
+    :param instance: name of the instance that wrote the line
+    :param event: name of the event
+    :param fields: the event's other fields, without its level
     """
 
     time: float
@@ -44,15 +47,15 @@
     fields: Mapping[str, str]
 
     def describe(self) -> str:
-        """Return the event as a line for people."""
+        """Return the event as one line of readable text."""
         fields = " ".join(f"{name}={value}" for name, value in self.fields.items())
         return f"{self.time:.3f} {self.instance} {self.event} {fields}".rstrip()
 
 
 def parse_line(line: str, source: str) -> LogEvent | None:
-    """Read a line, ``None`` if it is not an event.
+    """Return the event of a log line, ``None`` if the line is not an event.
 
-    :param source: who wrote it, if the line does not begin with a name of its own
+    :param source: instance name to use if the line has none before its fields
     """
     start = line.find(START)
     if start < 0:
@@ -64,12 +67,15 @@
     except (KeyError, ValueError):
         return None
     fields.pop("level", None)
-    before = line[:start].split()
-    return LogEvent(time, before[-1] if before else source, event, fields)
+    prefix = line[:start].split()
+    return LogEvent(time, prefix[-1] if prefix else source, event, fields)
 
 
 def read_events(lines: Iterable[str], source: str) -> Iterator[LogEvent]:
-    """Read the events of a log."""
+    """Yield the events of a log; other lines are skipped.
+
+    :param source: instance name for lines that have none
+    """
     for line in lines:
         event = parse_line(line, source)
         if event is not None:
@@ -79,41 +85,43 @@
 def find_request_events(
     events: Iterable[LogEvent], request: str, around: float
 ) -> list[LogEvent]:
-    """Return a request's events in order, with what its instances believed then.
+    """Return a request's events and related events of its instances, by time.
 
-    :param around: seconds before its first event and after its last, within which
-        changes of belief are told
+    :param around: seconds before the request's first event and after its last within
+        which related events are included
     """
-    all_events = sorted(events, key=lambda one: one.time)
-    own = [one for one in all_events if one.fields.get("request") == request]
-    if not own:
+    all_events = sorted(events, key=lambda event: event.time)
+    request_events = [
+        event for event in all_events if event.fields.get("request") == request
+    ]
+    if not request_events:
         return []
-    instances = {one.instance for one in own}
-    first, last = own[0].time - around, own[-1].time + around
+    instances = {event.instance for event in request_events}
+    start, end = request_events[0].time - around, request_events[-1].time + around
     subjects = {
-        (name, one.fields[name])
-        for one in own
-        for name in ABOUT
-        if one.fields.get(name)
+        (name, event.fields[name])
+        for event in request_events
+        for name in SUBJECT_FIELDS
+        if event.fields.get(name)
     }
     return [
-        one
-        for one in all_events
-        if one in own
+        event
+        for event in all_events
+        if event in request_events
         or (
-            one.instance in instances
-            and first <= one.time <= last
-            and _is_about(one, subjects)
+            event.instance in instances
+            and start <= event.time <= end
+            and _is_related(event, subjects)
         )
     ]
 
 
-def _is_about(event: LogEvent, subjects: set[tuple[str, str]]) -> bool:
+def _is_related(event: LogEvent, subjects: set[tuple[str, str]]) -> bool:
     if "request" in event.fields:
         return False
-    if event.event in BELIEFS:
+    if event.event in INSTANCE_STATE_EVENTS:
         return True
-    return any((name, event.fields.get(name)) in subjects for name in ABOUT)
+    return any((name, event.fields.get(name)) in subjects for name in SUBJECT_FIELDS)
 
 
 def _unquote(value: str) -> str:
--- a/packages/pondquay-cli/src/pondquay_cli/output.py
+++ b/packages/pondquay-cli/src/pondquay_cli/output.py
@@ -1,4 +1,4 @@
-"""Output for people: columns that line up."""
+"""Formatting of tables for the terminal."""
 
 from __future__ import annotations
 
@@ -7,17 +7,19 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping, Sequence
 
-GAP = "  "
+COLUMN_SEPARATOR = "  "
 
 
 def format_table(columns: Sequence[str], rows: Sequence[Mapping[str, object]]) -> str:
-    """Return rows as aligned text under a heading."""
-    cells = [list(columns)]
-    cells += [[_format_cell(row.get(name)) for name in columns] for row in rows]
-    widths = [max(len(line[index]) for line in cells) for index in range(len(columns))]
+    """Return rows as aligned columns under a header line."""
+    table = [list(columns)]
+    table += [[_format_cell(row.get(name)) for name in columns] for row in rows]
+    widths = [max(len(line[index]) for line in table) for index in range(len(columns))]
     lines = [
-        GAP.join(cell.ljust(width) for cell, width in zip(line, widths, strict=True))
-        for line in cells
+        COLUMN_SEPARATOR.join(
+            cell.ljust(width) for cell, width in zip(line, widths, strict=True)
+        )
+        for line in table
     ]
     return "\n".join(line.rstrip() for line in lines)
 
@@ -26,7 +28,7 @@
     if value is None:
         return "-"
     if isinstance(value, dict):
-        return ", ".join(f"{key}:{one}" for key, one in value.items()) or "-"
+        return ", ".join(f"{key}:{item}" for key, item in value.items()) or "-"
     if isinstance(value, list):
-        return ", ".join(str(one) for one in value) or "-"
+        return ", ".join(str(item) for item in value) or "-"
     return str(value)
