--- a/packages/pondquay-lab/src/pondquay_lab/experiment/__main__.py
+++ b/packages/pondquay-lab/src/pondquay_lab/experiment/__main__.py
@@ -7,9 +7,9 @@
 from pathlib import Path
 
 from pondquay.errors import InvalidInputError
+from pondquay_lab.experiment.dayruns import list_cases, run_all, show_progress
 from pondquay_lab.experiment.errors import ExperimentError
 from pondquay_lab.experiment.plans import load_plan
-from pondquay_lab.experiment.plays import list_cases, run_all, show_progress
 from pondquay_lab.experiment.results import (
     compare,
     format_table,
--- a/packages/pondquay-lab/src/pondquay_lab/experiment/results.py
+++ b/packages/pondquay-lab/src/pondquay_lab/experiment/results.py
@@ -14,7 +14,7 @@
     from collections.abc import Iterable, Mapping, Sequence
     from pathlib import Path
 
-    from pondquay_lab.experiment.plays import Case, DayRun, Report
+    from pondquay_lab.experiment.dayruns import Case, DayRun, Report
 
 # Confidence level of the intervals.
 CONFIDENCE = 0.95
