--- a/packages/pondquay-cli/src/pondquay_cli/commands/plan.py
+++ b/packages/pondquay-cli/src/pondquay_cli/commands/plan.py
@@ -44,7 +44,7 @@
         except InvalidInputError as error:
             raise InvalidUsageError(str(error)) from error
         body = {
-            "wanted": [entity.model_dump(mode="json") for entity in intent.wanted],
+            "wanted": [entity.model_dump(mode="json") for entity in intent.entities],
             "removed": list(intent.removed),
         }
         plan = await client.post("/plans", body)
--- a/packages/pondquay-lab/src/pondquay_lab/routingruns.py
+++ b/packages/pondquay-lab/src/pondquay_lab/routingruns.py
@@ -13,7 +13,7 @@
 from random import Random
 from typing import TYPE_CHECKING
 
-from pondquay.routing.policies import ROUTING_POLICIES, Work
+from pondquay.routing.policies import ROUTING_POLICIES, RequestProfile
 from pondquay.routing.upstreams import ENGINE, LoadReport, Upstream
 
 if TYPE_CHECKING:
@@ -136,7 +136,7 @@
             for index in range(UPSTREAMS)
         ]
         for view in views:
-            view.take_report(LoadReport(0, SLOTS, 0.0))
+            view.apply_report(LoadReport(0, SLOTS, 0.0))
         return views
 
     def run(self) -> RoutingResults:
@@ -169,7 +169,7 @@
             streams = engine.running + len(engine.queue)
             report = LoadReport(engine.pending_tokens, SLOTS, self._now, streams)
             arrives_at = self._now + REPORT_DELAY_SECONDS
-            self._schedule(arrives_at, partial(view.take_report, report))
+            self._schedule(arrives_at, partial(view.apply_report, report))
         next_poll = partial(self._poll_loads, instance)
         self._schedule(self._now + REPORT_INTERVAL_SECONDS, next_poll)
 
@@ -186,7 +186,7 @@
             self._schedule(self._now + 0.1, partial(self._arrive, job))
             return
         policy = self._policies[job.instance]
-        work = Work(job.tokens, rank=job.kind.rank)
+        work = RequestProfile(job.tokens, rank=job.kind.rank)
         view = policy.choose(candidates, work, self._random)
         view.begin(job.tokens)
         engine = self._engines[views.index(view)]
@@ -199,7 +199,7 @@
 
         The baseline, round-robin, ignores capacity.
         """
-        return self._ignores_capacity or view.has_room(rank)
+        return self._ignores_capacity or view.has_capacity(rank)
 
     def _refuse(self, job: Job) -> None:
         if job.arrived > WARMUP_SECONDS:
--- a/packages/pondquay-lab/src/pondquay_lab/slopes.py
+++ b/packages/pondquay-lab/src/pondquay_lab/slopes.py
@@ -94,7 +94,7 @@
 
 def build_attempts(count: int) -> tuple[Holder, Witness]:
     """Return a holder and a witness with a number of acknowledged attempts."""
-    holder, witness = Holder(OWN_ID), Witness(most_open=10 * ITEM_COUNT)
+    holder, witness = Holder(OWN_ID), Witness(max_open=10 * ITEM_COUNT)
     holding = holder.open("workspace", PEER_ID)
     holder.set_amount(holding.id, 10**9)
     for number in range(count):
@@ -138,7 +138,7 @@
     upstreams = []
     for number in range(count):
         upstream = Upstream(f"engine-{number}", ENGINE, "hall-a", "http://h", "khuree")
-        upstream.take_report(LoadReport(5, 16, 1.0, 3, (("judge", "v1"),), "boot"))
+        upstream.apply_report(LoadReport(5, 16, 1.0, 3, (("judge", "v1"),), "boot"))
         upstreams.append(upstream)
     return upstreams
 
