--- a/packages/pondquay/src/pondquay/routing/admission.py
+++ b/packages/pondquay/src/pondquay/routing/admission.py
@@ -12,7 +12,8 @@
     from collections.abc import Callable
 
 T = TypeVar("T")
-MAX_WAITING = 256
+# Capacity of the queue of each priority.
+MAX_QUEUED_PER_PRIORITY = 256
 PRIORITY_ORDER = (Priority.HIGH, Priority.NORMAL, Priority.LOW)
 
 
@@ -20,7 +21,7 @@
 class QueuedRequest(Generic[T]):
     """A request that waits for a free slot at an upstream.
 
-    :param deadline: time at which it is refused, in seconds
+    :param deadline: time at which it is refused if it has not started, in seconds
     """
 
     item: T
@@ -29,16 +30,16 @@
 
 
 class AdmissionQueue(Generic[T]):
-    """Waiting requests by priority, each until its deadline.
+    """Queues requests by priority, each until its deadline.
 
-    :param max_waiting: capacity of the queue of each priority
+    :param max_queued: capacity of the queue of each priority
     """
 
-    def __init__(self, max_waiting: int = MAX_WAITING) -> None:
+    def __init__(self, max_queued: int = MAX_QUEUED_PER_PRIORITY) -> None:
         self._queues: dict[Priority, deque[QueuedRequest[T]]] = {
             priority: deque() for priority in PRIORITY_ORDER
         }
-        self._max_waiting = max_waiting
+        self._max_queued = max_queued
 
     def __len__(self) -> int:
         return sum(len(queue) for queue in self._queues.values())
@@ -46,7 +47,7 @@
     def push(self, request: QueuedRequest[T]) -> bool:
         """Add a request; return ``False`` if the queue of its priority is full."""
         queue = self._queues[request.priority]
-        if len(queue) >= self._max_waiting:
+        if len(queue) >= self._max_queued:
             return False
         queue.append(request)
         return True
@@ -62,10 +63,11 @@
         return expired
 
     def pop_startable(self, start: Callable[[T], bool]) -> int:
-        """Offer the requests in order and remove those that ``start`` accepts.
+        """Try to start the requests, by priority and then in order of arrival.
 
         A request that cannot start does not block those behind it.
 
+        :param start: starts a request; returns whether it has started
         :returns: the number of requests started
         """
         started = 0
--- a/packages/pondquay/src/pondquay/routing/balanced.py
+++ b/packages/pondquay/src/pondquay/routing/balanced.py
@@ -14,7 +14,7 @@
     from pondquay.routing.upstreams import Upstream
 
 
-# Fraction of an upstream's load that a request of each rank waits for: engines start
+# Fraction of an upstream's load that a request waits for, by its rank: engines start
 # more urgent requests first.
 QUEUE_FRACTION_BY_RANK = (0.05, 0.5, 1.0)
 
@@ -24,7 +24,8 @@
 ) -> float:
     """Return the approximate seconds until a request's first token.
 
-    :param default_pace: seconds per token of an upstream that has not been observed
+    :param default_pace: seconds per token to assume for an upstream without a known
+        pace
     """
     pace = upstream.pace or default_pace
     ahead = QUEUE_FRACTION_BY_RANK[request.rank] * upstream.load / upstream.slots
@@ -33,7 +34,7 @@
 
 @ROUTING_POLICIES.register("two-choices")
 class TwoChoices(RoutingPolicy):
-    """Draws two upstreams at random and takes the shorter expected wait.
+    """Draws two upstreams at random and chooses the one with the shorter wait.
 
     Load reports lag, so picking the least loaded of all upstreams would send the
     requests of every instance to the same upstream.
@@ -42,7 +43,7 @@
     def choose(
         self, candidates: Sequence[Upstream], request: RequestProfile, random: Random
     ) -> Upstream:
-        """Return whichever of two random candidates has the shorter expected wait."""
+        """Return the candidate with the shorter expected wait of two random ones."""
         drawn = random.sample(list(candidates), min(2, len(candidates)))
         paces = [upstream.pace for upstream in candidates if upstream.pace]
         default_pace = sum(paces) / len(paces) if paces else 1.0
--- a/packages/pondquay/src/pondquay/routing/circuits.py
+++ b/packages/pondquay/src/pondquay/routing/circuits.py
@@ -1,4 +1,4 @@
-"""Circuit breakers: no requests to an upstream for a while after repeated failures."""
+"""Circuit breakers, which pause requests to an upstream after repeated failures."""
 
 from __future__ import annotations
 
@@ -13,7 +13,8 @@
 class Circuit:
     """Counts consecutive failures and decides when an upstream may be tried again.
 
-    :param pause: seconds for which the circuit opens next
+    :param failures: consecutive failures
+    :param pause: seconds for which the circuit stays open the next time it opens
     :param open_until: time before which no request may be sent, in seconds
     """
 
@@ -32,12 +33,16 @@
         self.open_until = 0.0
 
     def trip(self, now: float) -> None:
-        """Open the circuit at once, since the upstream is unreachable."""
+        """Record that the upstream is unreachable, which opens the circuit at once."""
         self.failures = max(self.failures, FAILURES_TO_OPEN - 1)
         self.fail(now)
 
     def fail(self, now: float) -> None:
-        """Record a failure; each time the circuit opens, the pause doubles."""
+        """Record a failure.
+
+        From ``FAILURES_TO_OPEN`` consecutive failures on, each opens the circuit and
+        doubles the next pause, up to ``MAX_PAUSE_SECONDS``.
+        """
         self.failures += 1
         if self.failures < FAILURES_TO_OPEN:
             return
--- a/packages/pondquay/src/pondquay/routing/coldshares.py
+++ b/packages/pondquay/src/pondquay/routing/coldshares.py
@@ -1,13 +1,13 @@
-"""Rate limit for cold upstreams, kept by all instances without messages.
+"""Rate limit for cold upstreams, enforced by all instances without messages.
 
 An upstream that has just started handles only a few requests per second from all
-instances together and fails above that. So as many instances as it handles requests
-per second send to it, each at most one request per second. The instances agree on the
-senders by rendezvous hashing.
+instances together and fails above that rate. So only a few instances send to it, each
+at most one request per second. Their number is the rate, rounded down, but at least
+one; the instances agree on them by rendezvous hashing.
 
-Where instances know different members of the fleet, as in a network partition or a
-scale-out, the number of senders grows by at most the number of members that only some
-of them know.
+Instances may know different members of the fleet, as in a network partition or a
+scale-out. This adds at most as many senders as there are members that only some
+instances know.
 """
 
 from __future__ import annotations
@@ -21,8 +21,8 @@
 
     from pondquay.routing.knownupstreams import KnownUpstream
 
-# Minimum delay between two requests of a sender. The limit counts arrivals in any
-# second, so a shorter delay would count one sender twice.
+# Minimum delay between two requests of a sender. With a shorter delay, two requests of
+# a sender would fall within the same second.
 SENDER_PAUSE_SECONDS = 1.0
 
 
@@ -46,13 +46,13 @@
 
 
 class ColdShares:
-    """Limits the requests of one instance to cold upstreams.
+    """Limits the requests that an instance sends to cold upstreams.
 
     :param instance: name of this instance
     :param domains: returns the domain of each known instance; the mapping is replaced
         when it changes, never modified
     :param rate: returns the requests per second that a cold upstream of a service
-        handles, 0 for no limit
+        handles from all instances together, 0 for no limit
     """
 
     def __init__(
@@ -68,7 +68,7 @@
         self._is_sender: dict[str, bool] = {}
 
     def allows(self, upstream: KnownUpstream, now: float) -> bool:
-        """Return whether a request may be sent to an upstream now, cold or not."""
+        """Return whether a request may be sent to an upstream, cold or not."""
         if now >= upstream.cold_until:
             return True
         rate = self._rate(upstream.record.service)
@@ -84,9 +84,9 @@
         if domains is not self._cached_domains:
             self._cached_domains = domains
             self._is_sender.clear()
-        known = self._is_sender.get(upstream.name)
-        if known is None:
+        is_sender = self._is_sender.get(upstream.name)
+        if is_sender is None:
             record = upstream.record
             senders = choose_senders(record.name, record.domain, domains, count)
-            known = self._is_sender[upstream.name] = self._instance in senders
-        return known
+            is_sender = self._is_sender[upstream.name] = self._instance in senders
+        return is_sender
--- a/packages/pondquay/src/pondquay/routing/copies.py
+++ b/packages/pondquay/src/pondquay/routing/copies.py
@@ -1,7 +1,7 @@
 """Choice of the upstream from which another copies cached parts of a prompt.
 
 Copying cached parts is faster than prefilling them, and a prefill pauses the streams
-that run beside it.
+that run at the same upstream.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 def count_missing_tokens(target: KnownUpstream, prefix: tuple[PromptPart, ...]) -> int:
-    """Return the shared tokens of a prompt that an upstream has not cached."""
+    """Return how many tokens of a prompt, without its last part, are not cached."""
     return target.prompts.count_uncached(prefix[:-1])
 
 
@@ -28,23 +28,24 @@
     others: Iterable[KnownUpstream],
     prefix: tuple[PromptPart, ...],
 ) -> KnownUpstream | None:
-    """Return the upstream that has cached most of a prompt's shared parts.
+    """Return the upstream whose cached parts save the most tokens of prefill.
 
-    Among equals, an upstream in the target's domain is preferred, since the path is
-    shorter and no partition between domains can interrupt it.
+    On a tie, an upstream in the target's domain is preferred, since the path is shorter
+    and no partition between domains can interrupt it.
 
+    :param target: the upstream that runs the prompt
     :param others: healthy upstreams of the same service
     :returns: ``None`` if a copy would save too few tokens
     """
     missing = count_missing_tokens(target, prefix)
     domain = target.record.domain
 
-    def order(upstream: KnownUpstream) -> tuple[int, bool, str]:
+    def sort_key(upstream: KnownUpstream) -> tuple[int, bool, str]:
         saved = missing - count_missing_tokens(upstream, prefix)
         return saved, upstream.record.domain == domain, upstream.name
 
     candidates = [other for other in others if other is not target]
-    best = max(candidates, key=order, default=None)
-    if best is None or order(best)[0] < MIN_COPIED_TOKENS:
+    best = max(candidates, key=sort_key, default=None)
+    if best is None or sort_key(best)[0] < MIN_COPIED_TOKENS:
         return None
     return best
--- a/packages/pondquay/src/pondquay/routing/crashes.py
+++ b/packages/pondquay/src/pondquay/routing/crashes.py
@@ -1,16 +1,17 @@
-"""Requests under which upstreams crash, and when such requests are refused.
+"""Tracks requests that crash upstreams, and refuses them after repeated crashes.
 
-A request may crash every upstream that runs it, and with it all requests running there.
-Its caller retries at any instance under a new request ID, so the request is identified
-by its content, and instances report to each other which upstreams crashed under it.
+A request may crash every upstream that runs it, and all other requests there fail as
+well. Its caller retries at any instance under a new request ID, so a request is
+identified by a digest of its content, here called its content. Instances report to each
+other which upstreams crashed while they ran a content.
 
-Requests that ran at the same upstream are suspected as well. A run that completes
+Contents that ran at the same upstream are suspected as well. A run that completes
 clears its content of all crashes known by then.
 
-The state of a content is mergeable: the upstreams that crashed and how long ago, those
-that it was cleared of, and how often it was tried again. Reports may arrive late,
-twice, in any order and by way of other instances. Each carries the age of the crashes,
-so instances that have received the same reports have the same state.
+The state of a content consists of the upstreams that crashed, the age of each crash,
+the crashes that the content was cleared of, and the number of its trials. Reports may
+arrive late, twice, in any order and through other instances. They are merged such that
+instances that have received the same reports have the same state.
 """
 
 from __future__ import annotations
@@ -21,25 +22,26 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Mapping
 
-# Upstreams that crash under a content until it is refused. A harmless request with two
-# attempts easily runs beside a crash twice, but rarely three times.
+# Number of crashed upstreams from which a content is refused. A harmless request may be
+# running at two upstreams when they crash, but rarely at three.
 CRASHES_TO_BLOCK = 3
-# Delays after which a refused content gets another trial, in seconds: the first while
-# its callers may still wait, the second once an unrelated fault is over. There are no
-# further trials, since each may crash another upstream.
+# Delays before each trial of a refused content: the first while its callers may still
+# be waiting, the second when an unrelated fault should be over. There are no further
+# trials, since each may crash another upstream.
 TRIAL_DELAYS_SECONDS = (10.0, 120.0)
-# Minimum retry delay for callers; a trial that is due takes about as long.
+# Minimum retry delay for callers; a trial takes about as long.
 MIN_RETRY_SECONDS = 1.0
 # Retry delay for callers whose content gets no more trials.
 BLOCKED_RETRY_SECONDS = 600.0
-# Crashes further apart than this, in seconds, count as unrelated.
+# Crashes further apart than this count as unrelated.
 CRASH_WINDOW_SECONDS = 600.0
-# New crashes that are older than this, in seconds, are ignored.
+# Reported crashes that are older than this are ignored if they are not yet known,
+# unless the report is of a refused content.
 MAX_REPORT_AGE_SECONDS = 2 * CRASH_WINDOW_SECONDS
 # A crash is kept for as long as related crashes may still be reported.
 RETENTION_SECONDS = MAX_REPORT_AGE_SECONDS + CRASH_WINDOW_SECONDS
-# Bounds on suspected contents, refused contents, and upstreams of each content. A crash
-# adds as many suspected contents as were running there.
+# Maximum suspected contents, refused contents, and upstreams of each content. A crash
+# adds as many suspected contents as were running at the upstream.
 MAX_SUSPECTED = 4096
 MAX_BLOCKED = 1024
 MAX_UPSTREAMS = 16
@@ -50,9 +52,9 @@
     """The state of one content.
 
     :param crashed: incarnations of upstreams that crashed while they ran it
-    :param cleared: those of them that crashed before a run of it completed
-    :param trials: how often it was tried again after it had been refused
-    :param ages: seconds since each of them crashed, 0 if it is missing here
+    :param cleared: those of ``crashed`` whose crash a completed run has cleared
+    :param trials: number of trials after it was refused
+    :param ages: seconds since each upstream crashed; 0 for upstreams without an entry
     """
 
     content: bytes
@@ -63,34 +65,36 @@
 
     @property
     def suspected(self) -> bool:
-        """Whether upstreams crashed under it since it last completed."""
+        """Whether there are crashes of which it is not cleared."""
         return bool(self.crashed - self.cleared)
 
     @property
     def blocked(self) -> bool:
-        """Whether it is refused: enough upstreams crashed within the window.
+        """Whether it is refused: enough upstreams crashed within the crash window.
 
-        This does not change as the crashes age.
+        The result does not change as the crashes age.
         """
         ages = sorted(self.age(upstream) for upstream in self.crashed - self.cleared)
         last = CRASHES_TO_BLOCK - 1
         spans = zip(ages, ages[last:], strict=False)
-        return any(late - early <= CRASH_WINDOW_SECONDS for early, late in spans)
+        return any(
+            oldest - youngest <= CRASH_WINDOW_SECONDS for youngest, oldest in spans
+        )
 
     def age(self, upstream: str) -> float:
         """Return the seconds since an upstream crashed."""
         return self.ages.get(upstream, 0.0)
 
     def restrict_to(self, crashed: frozenset[str]) -> CrashReport:
-        """Return the report without the crashes of all other upstreams."""
+        """Return the report with only the crashes of the given upstreams."""
         ages = {upstream: self.age(upstream) for upstream in crashed}
         cleared = self.cleared & crashed
         return CrashReport(self.content, crashed, cleared, self.trials, ages)
 
     def drop_expired(self, max_age: float) -> CrashReport:
-        """Return the report without crashes that are too old, unless it is refused.
+        """Return the report without old crashes; a refused content keeps all of them.
 
-        :param max_age: seconds
+        :param max_age: maximum age of a crash, in seconds
         """
         if self.blocked:
             return self
@@ -112,10 +116,10 @@
 
 @dataclass(slots=True)
 class _Entry:
-    """The state of one content, in times of this instance's clock.
+    """The state of one content. Times are in seconds of this instance's clock.
 
-    :param crashed: when each upstream crashed, in seconds
-    :param next_trial: when it may be tried again, in seconds
+    :param crashed: when each upstream crashed
+    :param next_trial: when it may be tried again
     """
 
     content: bytes
@@ -125,7 +129,7 @@
     next_trial: float
 
     def describe(self, now: float) -> CrashReport:
-        """Return the state as a report without expired crashes."""
+        """Return the state as a report; unless refused, without expired crashes."""
         ages = {
             upstream: now - crashed_at for upstream, crashed_at in self.crashed.items()
         }
@@ -134,9 +138,9 @@
         return report.drop_expired(RETENTION_SECONDS)
 
     def merge(self, report: CrashReport, now: float) -> None:
-        """Merge the report of another instance.
+        """Merge a report.
 
-        The time in transit is missing from a reported age, so the earliest time of a
+        A reported age does not include the time in transit, so the earliest time of a
         crash is the most accurate.
         """
         for upstream in report.crashed:
@@ -151,7 +155,7 @@
         self.trials = max(self.trials, report.trials)
 
     def _drop_crashes(self) -> None:
-        """Keep only the newest crashes that are not cleared."""
+        """Keep only the newest uncleared crashes, at most ``MAX_UPSTREAMS``."""
         uncleared = [
             item for item in self.crashed.items() if item[0] not in self.cleared
         ]
@@ -162,8 +166,8 @@
 class CrashHistory:
     """The contents under which upstreams crashed, as one instance knows them.
 
-    Suspected contents expire. Refused contents are dropped only to make room for newer
-    ones.
+    Suspected contents expire. Refused contents do not; beyond ``MAX_BLOCKED``, the one
+    that has not changed for longest is dropped.
 
     :param clock: returns the time in seconds
     :param may_run_trial: returns whether this instance runs the trials of a content
@@ -174,7 +178,7 @@
     ) -> None:
         self._clock = clock
         self._may_run_trial = may_run_trial
-        # Both are ordered by the last change, the latest last.
+        # Both are ordered by the last change, most recent last.
         self._suspected: dict[bytes, _Entry] = {}
         self._blocked: dict[bytes, _Entry] = {}
 
@@ -184,18 +188,18 @@
         return not self._suspected and not self._blocked
 
     def blocked(self) -> list[CrashReport]:
-        """Return reports of the refused contents, the latest change first."""
+        """Return reports of the refused contents, most recently changed first."""
         now = self._clock()
         return [entry.describe(now) for entry in reversed(self._blocked.values())]
 
     def suspected(self) -> list[CrashReport]:
-        """Return reports of the other contents, the latest change first."""
+        """Return reports of the other contents, most recently changed first."""
         now = self._clock()
         known = [entry.describe(now) for entry in reversed(self._suspected.values())]
         return [report for report in known if report.crashed]
 
     def find(self, content: bytes) -> CrashReport | None:
-        """Return the report of a content, ``None`` if it is unknown or expired."""
+        """Return the report of a content, ``None`` if it is unknown or has expired."""
         entry = self._find(content)
         if entry is None:
             return None
@@ -222,7 +226,7 @@
         return self.find(content)
 
     def receive(self, report: CrashReport) -> bool:
-        """Merge the report of another instance; return whether it is new."""
+        """Merge a report, usually of a peer; return whether it changes the state."""
         content, now = report.content, self._clock()
         entry = self._find(content)
         if entry is None:
@@ -249,7 +253,7 @@
             return None
         if entry.trials >= len(TRIAL_DELAYS_SECONDS):
             return Blocked(BLOCKED_RETRY_SECONDS)
-        # A trial that is due runs at one instance, which the next retry may reach.
+        # Only one instance runs a trial that is due; the next retry may reach it.
         return Blocked(max(MIN_RETRY_SECONDS, entry.next_trial - self._clock()))
 
     def start_trial(self, content: bytes) -> CrashReport | None:
@@ -276,9 +280,9 @@
         return report.restrict_to(fresh | (report.crashed & known.crashed))
 
     def _prune(self) -> None:
-        """Drop expired contents, and the oldest beyond the bounds.
+        """Drop expired contents, oldest first, and the oldest beyond the bounds.
 
-        Once more contents are suspected than are kept, instances may differ.
+        Instances may disagree on suspected contents once ``MAX_SUSPECTED`` is exceeded.
         """
         now = self._clock()
         while self._suspected:
--- a/packages/pondquay/src/pondquay/routing/directory.py
+++ b/packages/pondquay/src/pondquay/routing/directory.py
@@ -1,4 +1,4 @@
-"""Upstreams that an instance knows, from a list that lags and may lose rows."""
+"""Directory of the known upstreams, from a list that lags and may lose rows."""
 
 from __future__ import annotations
 
@@ -17,27 +17,30 @@
     from pondquay.routing.ratelimits import RateLimit
     from pondquay.routing.upstreamrecords import UpstreamRecord
 
-# Departures that are kept for late updates, from a lagging list or from a peer after a
-# partition: more than a day of releases in a large fleet.
+# Maximum departures and removed rows that are remembered, for late updates from a
+# lagging list or, after a partition, from a peer.
 MAX_DEPARTURES = 4096
-# Seconds for which the limit of a departed upstream is kept: longer than a row that
-# expired in an outage of the store takes to return.
+# Age up to which the rate limit of a departed upstream is kept. A row that expired in
+# an outage of the store returns sooner.
 LIMIT_RETENTION_SECONDS = 60.0
 
 
 class UpstreamDirectory:
-    """Known upstreams by service; the first signal of a departure is final.
+    """The upstreams that an instance knows, and their departures.
 
-    Each incarnation of an upstream has its own name, so a departed incarnation never
-    returns. Of two incarnations in the same row, the row with the higher version has
-    the later one. The removal of a row while the list is synced also means a departure:
-    a later outage of the store does not revoke it, only a newer row does.
+    Each incarnation of an upstream has its own name. A departure that it announces is
+    final. Of two incarnations in the same row, the one with the higher version of the
+    row is later, and the other has departed.
+
+    The removal of a row also means a departure if the list has been synced long enough
+    for expired rows to return. Only a newer row revokes it; a later outage of the store
+    does not.
 
     :param clock: returns the time in seconds
-    :param last_complete_at: returns the time as of which the list was complete before
-        the row that is being applied, in seconds, ``None`` if it never was
+    :param last_complete_at: returns the time as of which the list was known in full
+        before the row that is being applied, in seconds, ``None`` if it never was
     :ivar evacuations: the domains that operators have evacuated
-    :ivar reach: the domains that cannot be reached from here
+    :ivar reach: which domains this instance can reach
     """
 
     def __init__(
@@ -50,10 +53,10 @@
         self.evacuations = Evacuations(clock)
         self.reach = DomainReach()
         self._watch = ListWatch()
-        # By the names of incarnations.
+        # Keyed by the name of the incarnation.
         self._known: dict[str, KnownUpstream] = {}
         self._departures: dict[str, Departure] = {}
-        # By the names of rows: the incarnation last known to be in the row, and the
+        # Keyed by the name of the row: the incarnation last known to be in it, and the
         # newest version at which the row is known to have been missing.
         self._listed: dict[str, str] = {}
         self._removed: dict[str, int] = {}
@@ -66,7 +69,7 @@
         return list(self._known.values())
 
     def list_departed(self) -> list[str]:
-        """Return the names of those that get no new requests."""
+        """Return the names of departed upstreams, which get no new requests."""
         now = self._clock()
         return [
             upstream.name
@@ -75,23 +78,23 @@
         ]
 
     def count_present(self) -> int:
-        """Return how many are listed and not leaving."""
+        """Return the number of upstreams that are listed and not leaving."""
         return sum(
             not upstream.leaving and upstream.missing_since is None
             for upstream in self._known.values()
         )
 
     def count_backing_off(self) -> int:
-        """Return how many accept no request of this instance now."""
+        """Return the number of upstreams that are in back-off for this instance."""
         now = self._clock()
         return sum(upstream.in_backoff(now) for upstream in self._known.values())
 
     def count_limited(self) -> int:
-        """Return how many have a rate limit for all instances."""
+        """Return the number of upstreams with a rate limit for all instances."""
         return len(self.list_limited())
 
     def list_limited(self) -> list[KnownUpstream]:
-        """Return those that have a rate limit for all instances."""
+        """Return the upstreams with a rate limit for all instances."""
         return [upstream for upstream in self._known.values() if upstream.is_limited()]
 
     def find(self, name: str) -> KnownUpstream | None:
@@ -99,12 +102,12 @@
         return self._known.get(name)
 
     def find_listed(self, row: str) -> KnownUpstream | None:
-        """Return the incarnation last known to be in a row."""
+        """Return the incarnation last known to be in a row, ``None`` if unknown."""
         incarnation = self._listed.get(row)
         return None if incarnation is None else self._known.get(incarnation)
 
     def departures(self) -> list[Departure]:
-        """Return the known departures, the newest last."""
+        """Return the known departures, most recent last."""
         return list(self._departures.values())
 
     def find_departure(self, name: str) -> Departure | None:
@@ -114,8 +117,8 @@
     def put(self, record: UpstreamRecord, version: int) -> KnownUpstream | None:
         """Apply a row of the list.
 
-        :returns: the upstream, ``None`` if nothing changed, as with most rows, which
-            are heartbeats
+        :param version: version of the row
+        :returns: the upstream, ``None`` if nothing changed, as with most heartbeats
         """
         name, incarnation = record.name, record.incarnation
         if record.leaving:
@@ -124,8 +127,7 @@
         if listed is not None and listed.name != incarnation:
             if listed.version >= version:
                 return None
-            # Even if the row has been removed since, it shows that the upstream has
-            # restarted.
+            # The upstream has restarted, even if the row has been removed since.
             self._end_incarnation(listed)
         if self._removed.get(name, 0) >= version:
             return None
@@ -138,7 +140,7 @@
             return None
         departure = self._departures.get(incarnation)
         if departure is not None and departure.version is not None:
-            # The row had only expired.
+            # The row had been missing, but the upstream has not left.
             del self._departures[incarnation]
             departure = None
         is_new = (
@@ -163,6 +165,7 @@
     def remove(self, name: str, version: int) -> KnownUpstream | None:
         """Apply the removal of a row.
 
+        :param version: version of the list at which the row was missing
         :returns: the upstream, ``None`` if nothing changed
         """
         removed = self._remove(name, version)
@@ -182,10 +185,10 @@
         return known
 
     def discard(self, name: str, version: int) -> KnownUpstream | None:
-        """Apply a row that cannot be read, which some other program has written.
+        """Apply an unreadable row, which another program must have written.
 
-        Its upstream gets no requests, even where no other is left, until it writes the
-        row again.
+        Its upstream gets no requests until it writes the row again, even if there is no
+        other upstream.
 
         :returns: the upstream, ``None`` if nothing changed
         """
@@ -202,7 +205,7 @@
     def replace(
         self, records: Mapping[str, tuple[UpstreamRecord, int]], at: int
     ) -> list[KnownUpstream]:
-        """Apply a snapshot of the whole list.
+        """Apply a snapshot of the complete list.
 
         A snapshot that is older than a known row does not remove that row.
 
@@ -217,7 +220,7 @@
         return [upstream for upstream in changed if upstream is not None]
 
     def note_synced(self) -> None:
-        """Record that the list is being followed, also after an interruption."""
+        """Record that the list can be read, at the start or after an outage."""
         now = self._clock()
         self._watch.note_synced(now)
         for known in self._known.values():
@@ -225,10 +228,10 @@
                 known.expires_at = self._watch.plan_expiry(now)
 
     def note_disconnected(self) -> None:
-        """Record that the list cannot be followed.
+        """Record that the list cannot be read.
 
-        Upstreams whose rows expired shortly before may still be there, since they had
-        no time to write them again.
+        Upstreams whose rows expired in a previous outage may still be running, if they
+        had no time to write their rows again. So they do not count as departed yet.
         """
         now = self._clock()
         self._watch.note_disconnected(now)
@@ -240,8 +243,10 @@
     def note_leaving(self, name: str, born: int | None = None) -> bool:
         """Record that an upstream announced its departure; return whether it is new.
 
-        It is also kept for unknown incarnations, since a list that lags may still
-        return their rows.
+        The departure is also kept for an unknown incarnation, since a list that lags
+        may still return its row.
+
+        :param born: start time of the incarnation, as in its row
         """
         departure = Departure(name, None, born)
         if self._departures.get(departure.incarnation) == departure:
@@ -259,7 +264,7 @@
 
         :param delivered_at: latest time at which the request can have been delivered,
             in seconds
-        :returns: whether that is new
+        :returns: whether the departure is new
         """
         upstream.announced_leaving_at = self._clock()
         self._note_delivered(upstream, delivered_at)
@@ -286,7 +291,7 @@
     ) -> bool:
         """Record the rate limit that a response of an upstream reports.
 
-        :param requested_at: when the request was placed, in seconds
+        :param requested_at: when the request was sent, in seconds
         :param delivered_at: latest time at which it can have been delivered, in seconds
         :returns: whether the rate changed
         """
@@ -296,14 +301,15 @@
         return has_changed
 
     def _note_delivered(self, upstream: KnownUpstream, delivered_at: float) -> None:
-        """Record when a request was delivered whose response carried a signal.
+        """Record the delivery time of a request whose response carried a signal.
 
-        The signal may be from the incarnation that is listed by now.
+        If another incarnation is listed by now, the signal may be from that one, so it
+        inherits the signal.
         """
         upstream.delivered_at = max(upstream.delivered_at, delivered_at)
-        later = self.find_listed(upstream.record.name)
-        if later is not None and later is not upstream:
-            later.inherit_signals(upstream)
+        listed = self.find_listed(upstream.record.name)
+        if listed is not None and listed is not upstream:
+            listed.inherit_signals(upstream)
 
     def receive(self, departure: Departure) -> bool:
         """Apply a departure that a peer reports; return whether it is new."""
@@ -325,16 +331,17 @@
         return True
 
     def forget_instance(self, instance: str) -> None:
-        """Forget the waiting prompts of another instance that cannot be reached."""
+        """Drop the waiting prompts that a now unreachable instance has reported."""
         for known in self._known.values():
             known.prompts.receive(instance, 0)
 
     def candidates(self, service: str) -> list[KnownUpstream]:
-        """Return those that may get new requests, none of them in an evacuated domain.
+        """Return the upstreams of a service that may get new requests.
 
-        A row is missing after an upstream left without announcing it, but also in an
-        outage of the list's store. So upstreams with missing rows are used only where
-        no other is left, until they count as departed.
+        Departed upstreams and upstreams in evacuated domains are excluded. A row is
+        missing after an upstream left without announcing it, but also after an outage
+        of the list's store. So upstreams with missing rows are returned only if there
+        are no others.
         """
         now = self._clock()
         evacuated = self.evacuations.evacuated
@@ -353,7 +360,7 @@
     def note_restored(self, domain: str, cold: Callable[[str], float]) -> None:
         """Record that an evacuated domain gets requests again.
 
-        Its upstreams may have turned cold shortly before, which the list shows up to
+        Its upstreams may have become cold shortly before, which the list shows up to
         two seconds late, so they count as cold at first.
 
         :param cold: returns the seconds for which upstreams of a service are cold
@@ -370,12 +377,12 @@
 
     def _remember(self, departure: Departure) -> None:
         before = self._departures.pop(departure.incarnation, departure)
-        final = before.version is None
-        self._departures[departure.incarnation] = before if final else departure
+        is_final = before.version is None
+        self._departures[departure.incarnation] = before if is_final else departure
         _drop_oldest(self._departures)
 
     def _end_incarnation(self, known: KnownUpstream) -> None:
-        """Record that another incarnation of an upstream has started."""
+        """Record that an incarnation has ended, since a later one is in its row."""
         self.note_leaving(known.record.name, known.record.born)
         known.missing_since = known.missing_since or self._clock()
 
@@ -383,7 +390,8 @@
         """Drop departed upstreams that run no request of this instance.
 
         An upstream in back-off is kept until the back-off ends, and an upstream with a
-        rate limit for ``LIMIT_RETENTION_SECONDS``, since its row may return.
+        rate limit until ``LIMIT_RETENTION_SECONDS`` after its report, since its row may
+        return.
         """
         now = self._clock()
         for name, known in list(self._known.items()):
@@ -398,6 +406,6 @@
 
 
 def _drop_oldest(entries: dict[str, Any]) -> None:
-    """Drop the oldest entry once there are too many."""
+    """Drop the oldest entry if there are more than ``MAX_DEPARTURES``."""
     if len(entries) > MAX_DEPARTURES:
         del entries[next(iter(entries))]
--- a/packages/pondquay/src/pondquay/routing/domainreach.py
+++ b/packages/pondquay/src/pondquay/routing/domainreach.py
@@ -1,21 +1,22 @@
-"""Failure domains that cannot be reached from an instance, by its own connections.
+"""Detection of unreachable failure domains by an instance's own connections.
 
-Upstreams of a domain become unreachable together in a partition or a power failure.
-Two failed connections without a response from the domain in between are enough here, so
-that callers don't wait for a connection timeout at each of its upstreams in turn.
+In a partition or a power failure, all upstreams of a domain become unreachable
+together. Once connections to two of them have failed without a response from the domain
+in between, the domain is avoided, so that callers don't wait for a connection timeout
+at each of its upstreams in turn.
 """
 
 from __future__ import annotations
 
-# Upstreams of a domain that fail in a row, without a response from any, until the
-# domain counts as unreachable. A single failure is often just a crash.
+# Number of failed upstreams, without a response from the domain in between, from which
+# the domain counts as unreachable. A single failure is often just a crash.
 UNREACHABLE_UPSTREAMS = 2
-# Seconds after the last failure until an unreachable domain is tried again.
+# Delay after the last failure before an unreachable domain is tried again.
 UNREACHABLE_SECONDS = 1.0
 
 
 class DomainReach:
-    """Reachability of each failure domain by an instance's own connections."""
+    """Tracks the reachability of each failure domain."""
 
     def __init__(self) -> None:
         self._failed: dict[str, set[str]] = {}
@@ -27,12 +28,12 @@
         self._failed_at[domain] = now
 
     def note_response(self, domain: str) -> None:
-        """Record a response of any upstream of the domain."""
+        """Record a response from any upstream of the domain."""
         if domain in self._failed:
             del self._failed[domain]
 
     def is_unreachable(self, domain: str, now: float) -> bool:
-        """Return whether the domain is to be avoided for now."""
+        """Return whether requests should avoid the domain for now."""
         failed = self._failed.get(domain)
         if failed is None or len(failed) < UNREACHABLE_UPSTREAMS:
             return False
--- a/packages/pondquay/src/pondquay/routing/evacuations.py
+++ b/packages/pondquay/src/pondquay/routing/evacuations.py
@@ -1,8 +1,8 @@
-"""Evacuated failure domains: their upstreams get no new requests.
+"""Evacuated failure domains, whose upstreams get no new requests.
 
-A domain is evacuated while the operators' row for it is in the platform's table. An
-instance receives updates from the table or from a peer, late and in any order; of two
-updates, the one with the newer version of the table applies.
+A domain is evacuated while the platform's table has a row for it, which operators
+write. An instance receives updates from the table or from a peer, late and in any
+order; of two updates, the one with the newer version of the table applies.
 """
 
 from __future__ import annotations
@@ -43,8 +43,8 @@
         self._clock = clock
         self._updates: dict[str, _ReceivedUpdate] = {}
         self._evacuated: frozenset[str] = frozenset()
-        # The whole table is known up to this version, so an older update of any domain
-        # is outdated, also where no row of that domain was ever received.
+        # Version of the newest snapshot applied. Updates up to this version are
+        # outdated, even for a domain of which no update has been received.
         self._read_version = 0
 
     @property
@@ -64,10 +64,10 @@
         return [received.update for received in self._updates.values()]
 
     def merge(self, update: Evacuation) -> bool:
-        """Apply an update; return whether it is newer than what was known."""
+        """Apply an update; return whether it is newer than the known state."""
         before = self._updates.get(update.domain)
-        known = 0 if before is None else before.update.version
-        if update.version <= max(known, self._read_version):
+        known_version = 0 if before is None else before.update.version
+        if update.version <= max(known_version, self._read_version):
             return False
         self._updates[update.domain] = _ReceivedUpdate(update, self._clock())
         self._evacuated = frozenset(
@@ -78,24 +78,26 @@
         return True
 
     def replace(self, evacuated: Mapping[str, int], at: int) -> list[Evacuation]:
-        """Apply a snapshot of the whole table, possibly an old one.
+        """Apply a snapshot of the complete table, which may be outdated.
 
         :param evacuated: version of the row of each evacuated domain
         :param at: version of the snapshot
         :returns: the updates that are new
         """
-        found = [Evacuation(name, version, True) for name, version in evacuated.items()]
-        found += [
+        updates = [
+            Evacuation(name, version, True) for name, version in evacuated.items()
+        ]
+        updates += [
             Evacuation(name, at, False)
             for name, received in self._updates.items()
             if received.update.evacuated and name not in evacuated
         ]
-        changed = [update for update in found if self.merge(update)]
+        changed = [update for update in updates if self.merge(update)]
         self._read_version = max(self._read_version, at)
         return changed
 
     def describe(self) -> str:
-        """Return the evacuated domains with version and age, for logs."""
+        """Return the evacuated domains with version and age, as text for logs."""
         now = self._clock()
         return ",".join(
             f"{received.update.domain}@{received.update.version}"
--- a/packages/pondquay/src/pondquay/routing/issuers.py
+++ b/packages/pondquay/src/pondquay/routing/issuers.py
@@ -1,13 +1,14 @@
 """Selection of the instance that issues the permits of a limited upstream.
 
-By rendezvous hashing, the instances of each domain agree on a representative. The
-representative of the upstream's own domain issues the permits. An instance requests
-them from its domain's representative, and the representative from the issuer, so no
-instance needs links to all others.
+By rendezvous hashing, the instances of each domain agree on a representative for each
+limited upstream. The representative of the upstream's own domain issues the permits, or
+that of another domain if this domain is unreachable. An instance requests permits
+from its domain's representative, and the representative from the issuer, so no instance
+needs links to all others.
 
 No two instances that know each other issue at the same time: an instance that has
-started or has lost the previous issuer waits until the others have noticed as well.
-While no instance issues, requests go to other upstreams.
+started or has lost the previous issuer waits until the others have noticed this, too.
+While no instance issues permits, requests go to other upstreams.
 """
 
 from __future__ import annotations
@@ -19,19 +20,20 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Mapping
 
-# Seconds after which a new instance takes over and a lost instance is replaced: by
-# then, all others have noticed.
+# Delay before a new instance may take over and before a lost instance is replaced. By
+# then, all others have noticed the change.
 TAKEOVER_SECONDS = 3.0
-# Minimum uptime of a representative, in seconds: the previous representative notices
-# the new instance a little after it has started.
+# Minimum uptime of a representative. It exceeds ``TAKEOVER_SECONDS``, since the
+# previous representative notices the new instance a little after its start.
 STARTUP_SECONDS = 4.0
-# A link made within this time after the own start, in seconds, may be to an instance
-# that all others have known for long.
+# A peer that is linked within this time after this instance's start counts as
+# established: all others may have known it for long.
 INITIAL_LINK_SECONDS = 2.0
-# Instances of another domain that are tried until the domain counts as unreachable.
+# Maximum instances of another domain that are tried before the domain counts as
+# unreachable.
 MAX_REPRESENTATIVES = 3
-# A request for a link expires if it is not repeated for this long, in seconds; there
-# may be few requests for a limited upstream.
+# A request for a link expires if it is not repeated within this time, which is long
+# since requests for a limited upstream may be rare.
 LINK_REQUEST_SECONDS = 30.0
 
 
@@ -54,7 +56,7 @@
         return self._clock() - self._started_at
 
     def note_linked(self, peer: str) -> None:
-        """Record a link to a peer; a short interruption does not reset its age."""
+        """Record a link to a peer; short interruptions do not reset the link's age."""
         if self.is_linked(peer):
             return
         now = self._clock()
@@ -90,27 +92,31 @@
         )
 
     def request_link(self, peer: str) -> bool:
-        """Request a link to a peer; return whether it may still be made soon."""
+        """Request a link to a peer.
+
+        :returns: ``False`` if the link has been requested for ``TAKEOVER_SECONDS``, so
+            that the peer counts as unreachable
+        """
         now = self._clock()
-        since, last = self._requested.get(peer, (now, now))
-        if now - last > LINK_REQUEST_SECONDS:
-            since = now
-        self._requested[peer] = (since, now)
-        return now - since < TAKEOVER_SECONDS
+        first_at, last_at = self._requested.get(peer, (now, now))
+        if now - last_at > LINK_REQUEST_SECONDS:
+            first_at = now
+        self._requested[peer] = (first_at, now)
+        return now - first_at < TAKEOVER_SECONDS
 
     def list_requested(self) -> frozenset[str]:
-        """Return the peers to which a link is requested."""
+        """Return the peers to which a link was recently requested."""
         now = self._clock()
-        for peer, (_, last) in list(self._requested.items()):
-            if now - last > LINK_REQUEST_SECONDS:
+        for peer, (_, last_at) in list(self._requested.items()):
+            if now - last_at > LINK_REQUEST_SECONDS:
                 del self._requested[peer]
         return frozenset(self._requested)
 
     def keep_only(self, members: Mapping[str, str]) -> None:
         """Forget peers that are no longer instances of the fleet."""
-        for known in (self._linked_at, self._disconnected_at):
-            for peer in [name for name in known if name not in members]:
-                del known[peer]
+        for times in (self._linked_at, self._disconnected_at):
+            for peer in [name for name in times if name not in members]:
+                del times[peer]
 
 
 class IssuerSelector:
@@ -137,11 +143,12 @@
         self._ranks: dict[str, dict[str, list[str]]] = {}
 
     def choose(self, upstream: str, domain: str) -> str | None:
-        """Return the instance to ask for permits.
+        """Return the instance from which to request permits.
 
         :param upstream: name of the upstream
         :param domain: domain of the upstream
-        :returns: the own name if this instance issues, ``None`` if there is no issuer
+        :returns: the name of this instance if it is the issuer itself, ``None`` if
+            there is no issuer for now
         """
         ranks = self._rank(upstream)
         representative = self._find_representative(ranks[self._domain])
@@ -153,7 +160,7 @@
         return self._find_issuer(ranks, order)
 
     def _find_representative(self, ranked: list[str]) -> str | None:
-        """Return the representative of the own domain, ``None`` during a takeover."""
+        """Return this domain's representative, ``None`` during a takeover."""
         for name in ranked:
             if name == self._instance:
                 break
@@ -174,7 +181,7 @@
             for name in representatives:
                 if self._peers.is_linked(name):
                     return name
-            # A list, so that a link is requested to each of them.
+            # A list rather than a generator, so that a link to each is requested.
             if any([self._peers.request_link(name) for name in representatives]):
                 return None
         return None
@@ -186,10 +193,10 @@
             self._cached_domains = domains
             self._ranks.clear()
             self._peers.keep_only(domains)
-        known = self._ranks.get(upstream)
-        if known is None:
-            known = self._ranks[upstream] = _rank_all(upstream, domains)
-        return known
+        ranks = self._ranks.get(upstream)
+        if ranks is None:
+            ranks = self._ranks[upstream] = _rank_all(upstream, domains)
+        return ranks
 
 
 def _rank_all(upstream: str, domains: Mapping[str, str]) -> dict[str, list[str]]:
--- a/packages/pondquay/src/pondquay/routing/knownupstreams.py
+++ b/packages/pondquay/src/pondquay/routing/knownupstreams.py
@@ -1,4 +1,4 @@
-"""One incarnation of an upstream, and what an instance has observed of it."""
+"""Incarnations of upstreams, and what an instance has observed of each."""
 
 from __future__ import annotations
 
@@ -22,26 +22,31 @@
 
     All times are in seconds of this instance's clock.
 
-    :param version: version of the list's row that the record is from
-    :param missing_since: when its row was removed from the list
+    :param version: version of the row from which the record was read
+    :param leaving: whether it has announced its departure or has been replaced
+    :param missing_since: when its row was removed from the list; ``None`` while the row
+        is listed
     :param expires_at: when it counts as departed because its row is missing; ``None``
         while the row may have expired in an outage of the store
     :param running: requests of this instance that run there
     :param prompts: its cached prompt parts and the tokens that wait for prefill
     :param pauses: pauses of its streams during prefills
     :param last_seen_at: when anything was last received from it
-    :param last_sent_at: when a request was last placed there
+    :param last_sent_at: when this instance last chose it for a request
     :param cold_until: time until which it may be cold
-    :param backoff_until: time until which this instance sends it no request
+    :param backoff_until: time until which this instance sends it no requests
     :param limit: its rate limit for all instances together, as last reported
-    :param written_after: a time after which this incarnation has written its row
+    :param written_after: latest time after which this incarnation is known to have
+        written its row
     :param delivered_at: latest time at which a request can have been delivered whose
         response carried a signal; a later incarnation may have sent that response
     :param announced_leaving_at: when a response last announced that it leaves
-    :param maybe_leaving_since: when a response announced a departure, either of this
-        incarnation or of the previous one; ``None`` if it is not of this incarnation
+    :param maybe_leaving_since: when a response announced a departure that may be of
+        this incarnation or of the previous one; ``None`` if there is none or if this
+        incarnation has since written a row that does not announce it
     :param permits: permits to send there while it is limited
-    :param issuer: issues permits if this instance is the issuer
+    :param circuit: its circuit breaker
+    :param issuer: issues the permits while this instance is the issuer
     """
 
     record: UpstreamRecord
@@ -73,7 +78,7 @@
     def note_cold(self, seconds: float, now: float) -> None:
         """Record that it may be cold for some more seconds.
 
-        Reports are late and come from several sources. The latest end applies, since a
+        Reports arrive late and from several sources. The latest end applies, since a
         cold upstream fails under its usual load.
         """
         self.cold_until = max(self.cold_until, now + seconds)
@@ -88,9 +93,9 @@
     def note_limit(self, limit: RateLimit, requested_at: float = math.inf) -> bool:
         """Record its rate limit for all instances; the newest report applies.
 
-        :param requested_at: when the request was placed whose response reports the
-            limit, in seconds; a request from before the known report does not raise
-            the limit
+        :param requested_at: when the request was sent whose response reports the
+            limit, in seconds; if it was sent before the known report, the response
+            does not raise the limit
         :returns: whether the rate changed
         """
         known = self.limit
@@ -113,7 +118,10 @@
         return now < self.backoff_until
 
     def has_departed(self, now: float) -> bool:
-        """Return whether it gets no new requests, unless a newer row restores it."""
+        """Return whether it counts as departed, so that it gets no new requests.
+
+        A newer row may restore it, unless ``leaving`` is set.
+        """
         if self.leaving or self.maybe_leaving_since is not None:
             return True
         return self.expires_at is not None and self.expires_at <= now
@@ -121,8 +129,8 @@
     def note_written(self, after: float | None) -> None:
         """Record that it has written its row without announcing that it leaves.
 
-        :param after: a time after which it was written, in seconds, ``None`` if
-            unknown
+        :param after: time after which it must have written the row, in seconds,
+            ``None`` if unknown
         """
         if after is None:
             return
@@ -134,14 +142,14 @@
             self.maybe_leaving_since = None
 
     def inherit_signals(self, previous: KnownUpstream) -> None:
-        """Copy signals from responses that this incarnation may have sent itself.
+        """Copy signals from responses that this incarnation may have sent.
 
         Until the row of a new incarnation is read, its responses are attributed to the
         previous incarnation. If the previous incarnation wrote its row after the
-        request was delivered, it certainly sent the response itself.
+        request was delivered, it has sent the response itself, and nothing is copied.
 
-        A copied back-off applies in full, which at worst keeps this instance's requests
-        away for some seconds. A limit applies until this incarnation's first response.
+        A copied back-off applies in full; at worst, this instance sends no requests for
+        some seconds. A limit applies until this incarnation's first response.
         An announced departure applies until this incarnation writes a row that does not
         announce it, at most a heartbeat later.
         """
--- a/packages/pondquay/src/pondquay/routing/listwatch.py
+++ b/packages/pondquay/src/pondquay/routing/listwatch.py
@@ -1,15 +1,15 @@
-"""State of the watch on the upstream list, and the meaning of a row missing from it."""
+"""State of the watch on the upstream list, and interpretation of missing rows."""
 
 from __future__ import annotations
 
-# Seconds for which an upstream whose row is missing is still tried where no other is
-# left. It covers a late renewal. An upstream that has left must get no new request 2 s
-# after its row was removed, of which the notification takes up to 0.3 s.
+# Time for which an upstream with a missing row may still be used if there is no other,
+# as its renewal may be late. With up to 0.3 s for the notification, it stays below 2 s,
+# after which an upstream that has left must get no new requests.
 MISSING_GRACE_SECONDS = 1.5
-# Seconds after the watch is back in which upstreams rewrite rows that expired in an
-# outage of the store.
+# Time within which upstreams rewrite rows that expired in an outage of the store, once
+# it is over.
 ROW_RECOVERY_SECONDS = 2.0
-# No row expires in an interruption shorter than this, in seconds: rows outlast several
+# No row expires in an interruption shorter than this, since rows outlast several
 # renewals, which come about once a second.
 MIN_ROW_EXPIRY_SECONDS = 1.0
 
@@ -17,7 +17,7 @@
 class ListWatch:
     """Tracks since when the upstream list has been synced.
 
-    :ivar synced: whether the list is being followed
+    :ivar synced: whether the list can be read
     """
 
     def __init__(self) -> None:
@@ -27,11 +27,11 @@
 
     @property
     def recovered_by(self) -> float:
-        """When rows that expired in the last outage are back, in seconds."""
+        """Time by which rows that expired in the last outage are back, in seconds."""
         return self._synced_since + ROW_RECOVERY_SECONDS
 
     def note_synced(self, now: float) -> None:
-        """Record that the list is being followed, also after an interruption."""
+        """Record that the list can be read, at the start or after an outage."""
         if self.synced:
             return
         if (
@@ -42,15 +42,16 @@
         self.synced = True
 
     def note_disconnected(self, now: float) -> None:
-        """Record that the list cannot be followed."""
+        """Record that the list cannot be read."""
         if self.synced:
             self.synced = False
             self._disconnected_at = now
 
     def plan_expiry(self, missing_since: float) -> float | None:
-        """Return when an upstream with a missing row counts as departed, in seconds.
+        """Return when an upstream with a missing row counts as departed.
 
-        :returns: ``None`` while the row may have expired in an outage of the store
+        :returns: the time in seconds, ``None`` while the list cannot be read, since the
+            row may have expired in an outage of the store
         """
         if not self.synced:
             return None
--- a/packages/pondquay/src/pondquay/routing/pauses.py
+++ b/packages/pondquay/src/pondquay/routing/pauses.py
@@ -1,8 +1,8 @@
 """Effect of prefills on the streams that run at the same upstream.
 
-An engine prefills a prompt in chunks between the tokens of all running streams, so on
-a slow engine a long prompt stretches the pauses of every stream beyond what their
-routes allow. It is measured on this instance's own streams, without reports from the
+An engine prefills a prompt in chunks between the tokens of all running streams. So on a
+slow engine, a long prompt may extend the pauses of all streams beyond what their routes
+allow. The pauses are measured on this instance's own streams, without reports from the
 engine.
 """
 
@@ -11,13 +11,13 @@
 from dataclasses import dataclass
 
 # Fraction of the allowed pause from which a pause is attributed to a prefill. Without a
-# prefill, events come several times as fast.
+# prefill, pauses are several times shorter.
 PREFILL_PAUSE_FRACTION = 0.5
 # Half-life of the counts, so that an upstream recovers from a slow period.
 HALF_LIFE_SECONDS = 15.0
-# Fraction of the prefill pauses that may be excessive.
+# Fraction of excessive pauses among the prefill pauses from which there are too many.
 MAX_EXCESSIVE_FRACTION = 0.15
-# Minimum count of excessive pauses; a single pause may come from the network.
+# Minimum decayed count of excessive pauses; a single one may be due to the network.
 MIN_EXCESSIVE_PAUSES = 1.5
 
 
@@ -26,7 +26,7 @@
     """Counts pauses of streams at one upstream with exponential decay.
 
     :ivar prefill: pauses attributed to a prefill
-    :ivar excessive: those of them that were longer than the route allows
+    :ivar excessive: those of ``prefill`` that were longer than their route allows
     """
 
     prefill: float = 0.0
@@ -46,8 +46,8 @@
         if pause > allowed:
             self.excessive += 1.0
 
-    def breaks_streams(self, now: float) -> bool:
-        """Return whether long prompts stretch the pauses of other streams too far."""
+    def are_excessive(self, now: float) -> bool:
+        """Return whether too many pauses are longer than their routes allow."""
         self._decay(now)
         return (
             self.excessive >= MIN_EXCESSIVE_PAUSES
--- a/packages/pondquay/src/pondquay/routing/permitcache.py
+++ b/packages/pondquay/src/pondquay/routing/permitcache.py
@@ -8,15 +8,16 @@
 # Minimum delay between two requests for permits, in seconds; each request covers the
 # demand expected until the next.
 MIN_PAUSE_SECONDS = 0.1
-# Time constant of the exponentially decaying demand, in seconds.
+# Time constant of the exponential decay of the demand, in seconds.
 DEMAND_SECONDS = 1.0
 
 
 class PermitCache:
     """Permits with their expiry times, and the demand for them.
 
-    :ivar next_request_at: when more may be requested, in seconds
-    :ivar source: the instance that was last asked, ``None`` if there was none
+    :ivar next_request_at: time from which more may be requested, in seconds
+    :ivar source: the instance from which permits were last requested, ``None`` if there
+        was none
     """
 
     __slots__ = (
@@ -37,11 +38,11 @@
         self.source: str | None = None
 
     def can_supply(self, now: float) -> bool:
-        """Return whether there is a permit, or more may be requested."""
+        """Return whether there is a valid permit or more may be requested."""
         return self.count(now) > 0 or now >= self.next_request_at
 
     def count(self, now: float) -> int:
-        """Return how many permits are valid."""
+        """Return the number of permits that have not expired."""
         while self._expiries and self._expiries[0] <= now:
             self._expiries.popleft()
         return len(self._expiries)
@@ -60,7 +61,7 @@
         self._demand_at = now
 
     def count_needed(self) -> int:
-        """Return how many permits to request, at least 1."""
+        """Return the number of permits to request, at least 1."""
         expected = self._demand / DEMAND_SECONDS * MIN_PAUSE_SECONDS
         return max(1, math.ceil(expected))
 
@@ -77,13 +78,16 @@
     def plan_retry(self, now: float) -> float:
         """Return the seconds after which a refused caller should retry.
 
-        An instance gets about one permit per pause, so retries are spread over
-        successive pauses.
+        An instance gets about one permit per pause, so the retries of successive
+        callers are spread over successive pauses.
         """
         self._refused += 1
         pause = max(self.next_request_at - now, MIN_PAUSE_SECONDS)
         return pause * self._refused
 
     def reset(self) -> None:
-        """Allow a new request at once, since the upstream's limit has changed."""
+        """Allow a new request at once, since the limit has changed.
+
+        The permits remain valid.
+        """
         self.next_request_at = -math.inf
--- a/packages/pondquay/src/pondquay/routing/policies.py
+++ b/packages/pondquay/src/pondquay/routing/policies.py
@@ -19,7 +19,7 @@
 class RequestProfile:
     """The properties of a request that a routing policy considers.
 
-    :param tokens: maximum tokens that it can cost
+    :param tokens: maximum number of tokens that it can cost
     :param prefix: identifies the beginning of the prompt, empty if there is none
     :param rank: index of its priority; 0 is the most urgent
     """
@@ -36,7 +36,7 @@
     def choose(
         self, candidates: Sequence[Upstream], request: RequestProfile, random: Random
     ) -> Upstream:
-        """Return one of the candidates, which are never empty."""
+        """Return one of the candidates; there is always at least one."""
 
 
 ROUTING_POLICIES: Registry[RoutingPolicy] = Registry("routing policy")
--- a/packages/pondquay/src/pondquay/routing/prefixes.py
+++ b/packages/pondquay/src/pondquay/routing/prefixes.py
@@ -14,7 +14,7 @@
     from pondquay.routing.policies import RequestProfile
     from pondquay.routing.upstreams import Upstream
 
-# Maximum load of a preferred upstream, relative to the mean load.
+# Maximum load per slot of a preferred upstream, relative to the mean.
 LOAD_BOUND = 1.25
 # Allowance above that bound, in requests of the same size.
 SLACK_REQUESTS = 2
@@ -22,10 +22,10 @@
 
 @ROUTING_POLICIES.register("prefix-affinity")
 class PrefixAffinity(RoutingPolicy):
-    """Prefers an upstream that has the beginning of the prompt in its cache.
+    """Prefers an upstream that has cached the beginning of the prompt.
 
-    Cache events are late and incomplete, so they are only hints: an upstream is
-    preferred only while its load stays within a bound of the mean.
+    The known cache contents are late and incomplete, so they are only hints: an
+    upstream is preferred only while its load stays within a bound of the mean.
     """
 
     def __init__(self) -> None:
@@ -34,8 +34,11 @@
     def choose(
         self, candidates: Sequence[Upstream], request: RequestProfile, random: Random
     ) -> Upstream:
-        """Return the least loaded upstream with the prefix, or one of two choices."""
-        warm = [
+        """Return the least loaded eligible upstream with the prefix.
+
+        If there is none, fall back to :class:`TwoChoices`.
+        """
+        cached = [
             upstream for upstream in candidates if request.prefix in upstream.prefixes
         ]
         mean = sum(upstream.load / upstream.slots for upstream in candidates) / len(
@@ -43,7 +46,7 @@
         )
         eligible = [
             upstream
-            for upstream in warm
+            for upstream in cached
             if upstream.load / upstream.slots
             <= LOAD_BOUND * mean + SLACK_REQUESTS * request.tokens / upstream.slots
         ]
--- a/packages/pondquay/src/pondquay/routing/promptload.py
+++ b/packages/pondquay/src/pondquay/routing/promptload.py
@@ -1,7 +1,8 @@
 """Prompts at one upstream: cached shared parts and tokens that wait for prefill.
 
-An instance counts its own prompts at once and receives the counts of the others from
-them. Without these, each would see an idle upstream where the prompts of all queue up.
+An instance counts its own prompts immediately, and the other instances report theirs.
+Without these reports, several instances would send prompts to the same upstream, since
+each considers it idle.
 """
 
 from __future__ import annotations
@@ -15,7 +16,8 @@
 
     from pondquay.routing.prompts import PromptPart
 
-# Shared parts that an upstream is assumed to cache, least recently used first out.
+# Maximum shared parts that an upstream is assumed to cache; the least recently used are
+# evicted first.
 MAX_CACHED_PARTS = 64
 
 
@@ -37,7 +39,7 @@
         return self.own + sum(self.others.values())
 
     def count_uncached(self, prefix: Iterable[PromptPart]) -> int:
-        """Return the tokens of a prompt that need a prefill.
+        """Return the number of tokens of a prompt that need a prefill.
 
         A part counts as cached only if every part before it does as well.
         """
@@ -48,13 +50,13 @@
         return uncached
 
     def count_until_prefilled(self, prefix: Iterable[PromptPart]) -> int:
-        """Return the tokens to prefill until a prompt that arrives now is done."""
+        """Return the tokens to prefill until a prompt that arrives now is prefilled."""
         return self.waiting + self.count_uncached(prefix)
 
     def note_prefilled(self, parts: Iterable[str]) -> list[str]:
         """Record shared parts that have been prefilled, in the order of the prompt.
 
-        :returns: those that were not known to be cached
+        :returns: the parts that were not known to be cached
         """
         new = []
         for part in parts:
--- a/packages/pondquay/src/pondquay/routing/prompts.py
+++ b/packages/pondquay/src/pondquay/routing/prompts.py
@@ -1,4 +1,4 @@
-"""Prompts as placement sees them: ordered parts, of which the first may be shared."""
+"""Prompts as ordered parts, the first of which may be shared with other prompts."""
 
 from __future__ import annotations
 
@@ -9,7 +9,8 @@
 class PromptPart:
     """A part of a prompt.
 
-    :param name: the same for all prompts that are equal up to the end of this part
+    :param name: identifies the prompt up to the end of this part: it is equal for all
+        prompts that are equal up to there
     """
 
     name: str
--- a/packages/pondquay/src/pondquay/routing/ratelimits.py
+++ b/packages/pondquay/src/pondquay/routing/ratelimits.py
@@ -1,8 +1,8 @@
-"""Rate limits of upstreams for all instances together, kept by permits.
+"""Rate limits of upstreams for all instances together, enforced by permits.
 
 One instance issues the permits for a limited upstream, and each request sent there uses
-one. So the total rate is bounded wherever callers are, and an instance that receives
-all requests may use the whole limit.
+a permit. So the total rate is bounded however requests are distributed, and an instance
+that receives all requests may use the full limit.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
 # One request per this interval, in seconds, is allowed under any limit, since only a
 # response reports that a limit has been lifted.
 PROBE_INTERVAL_SECONDS = 5.0
-# Span for which permits accumulate while none is requested, in seconds.
+# Time for which permits accumulate while none is requested, in seconds.
 BURST_SECONDS = 0.25
 # Lifetime of a permit, in seconds; it bounds how many cached permits are used at once.
 PERMIT_LIFETIME_SECONDS = 1.0
 # An instance that requests nothing for this long, in seconds, no longer takes turns.
 REQUESTER_EXPIRY_SECONDS = 4.0
-# Turns per permit where several instances share a limit, since some turns go unused.
+# Turns per permit when several instances share a limit, since some turns go unused.
 TURNS_PER_PERMIT = 2.0
 # Maximum delay between two requests of an instance for permits, in seconds.
 MAX_PAUSE_SECONDS = 3.0
@@ -30,7 +30,7 @@
     """The rate limit that an upstream last reported.
 
     :param rate: requests per second, ``None`` for no limit
-    :param reported_at: when its response was received, in seconds
+    :param reported_at: when the response that reports it was received, in seconds
     """
 
     rate: float | None
@@ -41,7 +41,7 @@
         return max(0.0, now - self.reported_at)
 
     def allows_more(self, other: RateLimit) -> bool:
-        """Return whether its rate is higher than that of another limit."""
+        """Return whether it allows a higher rate than another limit."""
         if other.rate is None:
             return False
         return self.rate is None or self.rate > other.rate
@@ -63,10 +63,10 @@
 
 
 class PermitIssuer:
-    """Issues permits for one upstream at the rate that it reports.
+    """Issues permits for one upstream at the rate that the upstream reports.
 
-    In any span it issues at most what the limit allows in that span plus
-    ``BURST_SECONDS``, and one permit more.
+    Within any time span, it issues at most as many permits as the limit allows in that
+    span plus ``BURST_SECONDS``, and one more.
     """
 
     __slots__ = ("_next_permit_at", "_next_turn_at", "_requested_at")
@@ -86,7 +86,8 @@
         """
         rate = max(rate, 1.0 / PROBE_INTERVAL_SECONDS)
         interval = 1.0 / rate
-        # A permit issued under a lower limit must not delay the next under a higher.
+        # A permit issued under a lower limit must not delay the next permit under a
+        # higher limit.
         self._next_permit_at = min(self._next_permit_at, now + BURST_SECONDS + interval)
         count = 0
         while count < wanted and self._next_permit_at <= now + BURST_SECONDS:
@@ -100,8 +101,8 @@
     def _plan_turn(self, requester: str, interval: float, now: float) -> float:
         """Return the seconds until an instance's next turn to request permits.
 
-        A sole requester needs no turns. Turns are spread evenly, so that instances
-        refused at the same time don't retry at the same time.
+        A sole requester has no turns to wait for. Turns are spread evenly, so that
+        instances refused at the same time don't retry at the same time.
         """
         self._requested_at[requester] = now
         for instance, requested_at in list(self._requested_at.items()):
--- a/packages/pondquay/src/pondquay/routing/rendezvous.py
+++ b/packages/pondquay/src/pondquay/routing/rendezvous.py
@@ -1,7 +1,7 @@
 """Rendezvous hashing with a bound on load.
 
-All instances rank the upstreams of a prefix alike without messages, so a prompt that
-one instance's request left in an upstream's cache serves the requests of the others.
+Without exchanging messages, all instances rank the upstreams for a prefix alike. So
+the requests of all instances can use a prompt that an upstream has cached.
 """
 
 from __future__ import annotations
@@ -18,18 +18,18 @@
     from pondquay.routing.knownupstreams import KnownUpstream
     from pondquay.routing.prompts import PromptPart
 
-# Running requests of one instance at an upstream from which the next in rank is used.
+# Running requests of this instance at an upstream from which the next in rank is used.
 MAX_RUNNING_BY_PREFIX = 8
 # Prompt tokens waiting for prefill at an upstream from which the next in rank is used.
 MAX_PREFILL_TOKENS = 24_000
 # Uncached tokens from which a prompt counts as long. Engines prefill some thousand
-# between two tokens, so a shorter prompt does not stretch a pause by much.
+# tokens in one pause of a stream, so shorter prompts do not extend it by much.
 LONG_PROMPT_TOKENS = 4_000
 
 
-def score_pair(prefix: str, upstream: str) -> bytes:
-    """Return the rendezvous weight of an upstream for a prefix."""
-    return blake2b(f"{prefix}\0{upstream}".encode(), digest_size=8).digest()
+def score_pair(key: str, node: str) -> bytes:
+    """Return the rendezvous weight of a node, such as an upstream, for a key."""
+    return blake2b(f"{key}\0{node}".encode(), digest_size=8).digest()
 
 
 def choose_by_prompt(
@@ -39,12 +39,13 @@
     *,
     spare_streams: bool = True,
 ) -> KnownUpstream:
-    """Return the first upstream in rank, unless too many tokens wait for prefill there.
+    """Return the first upstream in rank that does not run too many requests.
 
-    In that case, return the upstream with the fewest tokens to prefill until the prompt
-    is done: the waiting tokens and the uncached tokens of the prompt. So a prompt moves
-    only where that saves prefill, and an overload of all upstreams does not scatter
-    cached prompts.
+    If too many tokens wait for prefill there, return the upstream with the fewest
+    tokens to prefill until the prompt is prefilled: the waiting tokens and the uncached
+    tokens of the prompt. So a prompt moves only if that saves prefill, and an overload
+    of all upstreams does not scatter cached prompts. If all upstreams run too many
+    requests, return the upstream with the fewest.
 
     :param spare_streams: whether to avoid upstreams where a long prompt would disturb
         running streams, as long as there are others
@@ -53,7 +54,7 @@
     undisturbed = [
         upstream
         for upstream in candidates
-        if not (spare_streams and _is_disturbed(upstream, prefix, now))
+        if not (spare_streams and _would_disturb(upstream, prefix, now))
     ]
     ranked = sorted(
         undisturbed or candidates,
@@ -73,11 +74,11 @@
     )
 
 
-def _is_disturbed(
+def _would_disturb(
     upstream: KnownUpstream, prefix: tuple[PromptPart, ...], now: float
 ) -> bool:
     """Return whether prefilling a prompt there would disturb running streams."""
-    if not upstream.pauses.breaks_streams(now):
+    if not upstream.pauses.are_excessive(now):
         return False
     return upstream.prompts.count_uncached(prefix) >= LONG_PROMPT_TOKENS
 
@@ -85,13 +86,14 @@
 def choose_nearest(
     candidates: Sequence[KnownUpstream], domain: str, max_running: int
 ) -> KnownUpstream:
-    """Return the least used upstream, preferably in the own domain.
+    """Return the least busy upstream, preferably in this instance's domain.
 
-    Equally used upstreams take turns. Otherwise one of them would get all requests at
-    low load.
+    Among equally busy upstreams, the least recently used is chosen. Otherwise, a single
+    upstream would get all requests at low load.
 
-    :param max_running: running requests of this instance from which other domains are
-        considered
+    :param domain: domain of this instance
+    :param max_running: running requests of this instance at each upstream of its domain
+        from which other domains are considered
     """
     near = [upstream for upstream in candidates if upstream.record.domain == domain]
     best = min(near, key=_rank_by_use, default=None)
@@ -108,6 +110,6 @@
 
 
 def _rank_by_use(upstream: KnownUpstream) -> tuple[int, float]:
-    """Return its running requests, and when a request was last placed there."""
+    """Return the running requests of an upstream, and when it was last chosen."""
     last_sent_at = -math.inf if upstream.last_sent_at is None else upstream.last_sent_at
     return upstream.running, last_sent_at
--- a/packages/pondquay/src/pondquay/routing/retries.py
+++ b/packages/pondquay/src/pondquay/routing/retries.py
@@ -1,11 +1,11 @@
-"""Retry budgets, which bound retries to a ratio of first attempts."""
+"""Retry budgets, which limit retries to a fraction of the first attempts."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
 RETRY_RATIO = 0.1
-MAX_SAVED = 10.0
+MAX_SAVED_RETRIES = 10.0
 
 
 @dataclass(slots=True)
@@ -17,11 +17,11 @@
     """
 
     ratio: float = RETRY_RATIO
-    saved: float = MAX_SAVED
+    saved: float = MAX_SAVED_RETRIES
 
     def earn(self) -> None:
         """Count a first attempt."""
-        self.saved = min(MAX_SAVED, self.saved + self.ratio)
+        self.saved = min(MAX_SAVED_RETRIES, self.saved + self.ratio)
 
     def spend(self) -> bool:
         """Use one retry; return ``False`` if there is none."""
--- a/packages/pondquay/src/pondquay/routing/retryshares.py
+++ b/packages/pondquay/src/pondquay/routing/retryshares.py
@@ -1,8 +1,9 @@
-"""Each instance's share of the fleet's retry budget, kept without messages.
+"""Each instance's share of the fleet's retry budget, enforced without messages.
 
-In any window, a service may receive from all instances together as many retries as a
-ratio of its requests plus a fixed number. Each instance keeps to the ratio of its own
-requests and to a fixed fraction of that number, so the total holds in any partition.
+In any time window, a service may receive from all instances together as many retries as
+a ratio of its requests plus a fixed number. Each instance applies the ratio to its own
+requests and uses only its share of the fixed number, so the total is also bounded in a
+partition.
 """
 
 from __future__ import annotations
@@ -18,9 +19,9 @@
 # Fraction of the ratio that is used, since a request may be counted in another window
 # than its retry.
 SAFETY_FACTOR = 0.75
-# The fixed number is divided among at least this many instances, and among more than
-# are known by this ratio, since some may be added or replaced.
+# Minimum number of shares into which the fixed number is divided.
 MIN_SHARES = 16
+# Shares per known instance, since instances may be added or replaced.
 SPARE_RATIO = 1.25
 
 
@@ -40,9 +41,10 @@
 class RetryShare:
     """Counts first and further attempts by service over a sliding window.
 
-    :param ratio: further attempts per request that the fleet may make
-    :param extra: further attempts that the fleet may always make in a window
-    :param window: seconds
+    :param ratio: further attempts that the fleet may make per request
+    :param extra: further attempts that the fleet may make in a window in addition: the
+        fixed number
+    :param window: length of the window, in seconds
     :param instances: returns the number of known instances; while it is 0, none of
         ``extra`` is used
     """
@@ -61,7 +63,7 @@
         self._attempts[service].first.append(now)
 
     def spend(self, service: str, now: float) -> bool:
-        """Use one further attempt; return ``False`` if there is none."""
+        """Use one further attempt; return ``False`` if none is left."""
         attempts = self._attempts[service]
         attempts.drop_before(now - self._window)
         allowed = self._ratio * len(attempts.first) + self._share()
--- a/packages/pondquay/src/pondquay/routing/rotation.py
+++ b/packages/pondquay/src/pondquay/routing/rotation.py
@@ -24,7 +24,7 @@
     def choose(
         self, candidates: Sequence[Upstream], request: RequestProfile, random: Random
     ) -> Upstream:
-        """Return the next upstream by name."""
+        """Return the next upstream in order of names."""
         self._turn += 1
         ordered = sorted(candidates, key=lambda upstream: upstream.name)
         return ordered[self._turn % len(ordered)]
--- a/packages/pondquay/src/pondquay/routing/upstreamrecords.py
+++ b/packages/pondquay/src/pondquay/routing/upstreamrecords.py
@@ -1,4 +1,4 @@
-"""Reports about upstreams: their rows in the list, and their departures."""
+"""Records of upstreams: their rows in the list, and their departures."""
 
 from __future__ import annotations
 
@@ -12,8 +12,10 @@
 def name_incarnation(name: str, born: int | None) -> str:
     """Return the name of one incarnation of an upstream.
 
-    An upstream may restart under its name. Observations of an earlier incarnation do
-    not apply to a later one, so they are kept by incarnation.
+    An upstream may restart under the same name. Observations of an earlier incarnation
+    do not apply to a later one, so they are kept by incarnation.
+
+    :param born: start time of the incarnation, ``None`` if unknown
     """
     return name if born is None else f"{name}@{born}"
 
@@ -23,7 +25,7 @@
     """An upstream's row in the list.
 
     :param name: name of the row
-    :param slots: requests that it runs at the same time
+    :param slots: maximum requests that it runs at the same time
     :param leaving: whether it is about to stop
     :param cold: seconds for which it stays cold and handles only few requests
     :param born: start time of this incarnation by the clock of its host, ``None`` if
@@ -51,8 +53,8 @@
     """The departure of one incarnation of an upstream.
 
     :param name: name of its row
-    :param version: version at which its row was missing, so that a newer row revokes
-        the departure; ``None`` if it announced the departure itself, which is final
+    :param version: version at which its row was missing; a newer row revokes the
+        departure. ``None`` if the upstream announced the departure, which is final
     :param born: start time of the incarnation, as in its row
     """
 
--- a/packages/pondquay/src/pondquay/routing/upstreams.py
+++ b/packages/pondquay/src/pondquay/routing/upstreams.py
@@ -1,4 +1,4 @@
-"""The state of an upstream as an instance knows it: load reports and own requests."""
+"""State of an upstream as known to an instance: load reports and own requests."""
 
 from __future__ import annotations
 
@@ -7,6 +7,7 @@
 
 from pondquay.routing.circuits import Circuit
 
+# Kinds of upstreams.
 ENGINE = "engine"
 SERVICE = "service"
 # Weight of the latest sample in the moving average of the pace.
@@ -27,6 +28,7 @@
     """The load that an upstream reported.
 
     :param tokens: output tokens yet to be generated
+    :param slots: requests that the upstream runs at the same time
     :param received: when the report was received, in seconds
     :param streams: running and queued requests
     :param models: name and version of each loaded model
@@ -43,14 +45,17 @@
 
 @dataclass(slots=True)
 class Upstream:
-    """One upstream as this instance knows it.
+    """One upstream as known to this instance.
 
+    :param kind: ``ENGINE`` or ``SERVICE``
     :param outstanding: reserved tokens of this instance's requests there
     :param running: requests of this instance that run there
     :param tokens_since_report: tokens that this instance sent since the last report
     :param sent_since_report: requests that this instance sent since the last report
     :param pace: seconds per token of a stream there, as a moving average; 0 if unknown
-    :param backoff_until: time until which this instance sends it no request, in seconds
+    :param backoff_until: time until which this instance sends it no requests, in
+        seconds
+    :param prefixes: prompt prefixes that it reported as cached, as keys
     """
 
     name: str
@@ -70,9 +75,10 @@
     prefixes: dict[str, int] = field(default_factory=dict)
 
     def apply_report(self, report: LoadReport) -> None:
-        """Replace the last report by a newer one.
+        """Replace the last report with a newer one.
 
-        A new incarnation has not asked this instance to back off.
+        A report of a new incarnation ends the back-off, which the previous incarnation
+        requested.
         """
         if self.report is not None and report.boot != self.boot:
             self.backoff_until = 0.0
@@ -84,8 +90,9 @@
     def load(self) -> int:
         """Estimated tokens ahead of a new request.
 
-        The last report covers the requests of all instances. Added are the tokens that
-        this instance sent since; its own outstanding tokens are a lower bound.
+        The last report covers the requests of all instances, and the tokens that this
+        instance has sent since are added. The estimate is never lower than this
+        instance's own outstanding tokens.
         """
         reported = 0 if self.report is None else self.report.tokens
         return max(reported + self.tokens_since_report, self.outstanding)
@@ -101,10 +108,10 @@
         return 1 if self.report is None else max(1, self.report.slots)
 
     def has_capacity(self, rank: int) -> bool:
-        """Return whether a request of some priority may be sent there now.
+        """Return whether a request of the given priority may be sent there now.
 
         Running streams are not interrupted, so a fraction of the slots is kept free for
-        more urgent requests; the most urgent may even queue at the upstream.
+        more urgent requests. The most urgent requests may even queue at the upstream.
 
         :param rank: index of the priority; 0 is the most urgent
         """
