--- a/packages/pondquay/src/pondquay/budgets/__init__.py
+++ b/packages/pondquay/src/pondquay/budgets/__init__.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+# Importing this module registers the grant policies.
 from pondquay.budgets import sizing
 
 __all__ = ["sizing"]
--- a/packages/pondquay/src/pondquay/budgets/accounts.py
+++ b/packages/pondquay/src/pondquay/budgets/accounts.py
@@ -17,23 +17,24 @@
 
 # Time constant of the exponential average of the demand.
 RATE_SECONDS = 8.0
-# Requests of at most this fraction of the prepaid tokens are small: they may use the
+# Requests of at most this fraction of the prepaid tokens count as small and may use the
 # tokens that are withheld from larger ones.
 SMALL_REQUEST_FRACTION = 0.01
-# Shortest time that a rate is averaged over.
+# Shortest period over which a rate is averaged.
 MIN_AGE_SECONDS = 2.0
-# Fraction of a lender's spare tokens that a borrower may get beyond its need.
+# Fraction of a lender's spare tokens that a borrower may get beyond what it needs now.
 LOAN_HEADROOM_FRACTION = 0.25
 
 
 class RefusalReason(StrEnum):
     """Reason why tokens could not be reserved.
 
-    ``EXHAUSTED``: the row shows that no instance can have enough of them;
-    ``ELSEWHERE``: the row or other instances may have them;
+    ``EXHAUSTED``: according to the row, too few tokens of the budget are left;
+    ``ELSEWHERE``: the row or other instances may have enough tokens;
     ``UNKNOWN``: the row has not been read yet;
-    ``OUT_OF_REACH``: the table may have them, but is unreachable;
-    ``KEPT_FOR_SMALL``: they are here, but withheld from all but small requests.
+    ``OUT_OF_REACH``: the table may have enough tokens, but is unreachable;
+    ``KEPT_FOR_SMALL``: this instance has enough tokens, but withholds them from all
+    but small requests.
     """
 
     EXHAUSTED = "exhausted"
@@ -61,7 +62,10 @@
         self.largest = max(self.largest, tokens)
 
     def note_lent(self, tokens: int, now: float) -> None:
-        """Record tokens that another instance borrowed, for one or more requests."""
+        """Record tokens of a loan that another instance requested.
+
+        A loan may serve several requests, so it does not change ``largest``.
+        """
         if self._started_at is None:
             self._started_at = now
         self._sum = self._sum_at(now) + tokens
@@ -73,14 +77,14 @@
         self._updated_at = now
 
     def rate(self, now: float) -> float:
-        """Return tokens per second, averaged only since the first request."""
+        """Return tokens per second, averaged over the time since the first request."""
         if self._started_at is None:
             return 0.0
         age = max(MIN_AGE_SECONDS, now - self._started_at)
         return self._sum_at(now) / (RATE_SECONDS * (1 - exp(-age / RATE_SECONDS)))
 
-    def mean_rate(self, now: float) -> float:
-        """Return tokens per second, counting no demand before the first request."""
+    def uncorrected_rate(self, now: float) -> float:
+        """Return tokens per second, assuming no demand before the first request."""
         return 0.0 if self._started_at is None else self._sum_at(now) / RATE_SECONDS
 
     def _sum_at(self, now: float) -> float:
@@ -89,9 +93,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """A new version of the row to write.
+    """A new row to write.
 
-    :param ceiling: the ceiling of the writing instance in this row
+    :param ceiling: the ceiling of the writing incarnation in this row
     """
 
     row: AllotmentRow
@@ -102,15 +106,17 @@
 class Account:
     """Tokens that one incarnation of an instance may spend, has spent and has reserved.
 
+    :param holder: name of the instance
     :param boot: the incarnation
-    :param ceiling: the lowest value that the row's ceiling for this incarnation can
-        have
-    :param spent: tokens used and lent, less those borrowed; negative if it borrowed
-        more. ``spent - used`` is its balance of loans; summed over all instances, this
-        is what they borrowed and hold, plus loans lost in transit
+    :param prepaid: limit of the workspace's budget in tokens
+    :param ceiling: maximum number of tokens that may be spent here; no higher than the
+        row's ceiling for this incarnation, unless more is already spent or reserved
+    :param spent: tokens used and lent, less those borrowed; negative if more were
+        borrowed. ``spent - used`` is the balance of loans
     :param used: tokens used by completed requests
-    :param reserved: tokens set aside for running requests
-    :param version: version of the row as last read, ``None`` if it was never read
+    :param reserved: tokens reserved for running requests
+    :param version: version of ``row``, ``None`` if it was never read
+    :param row: the row as last read or written
     :param requested: tokens that a waiting request needs, 0 if none waits
     :param policy: the settings that plans use
     """
@@ -127,7 +133,8 @@
     demand: Demand = field(default_factory=Demand)
     requested: int = 0
     policy: RelayPolicy = DEFAULT_POLICY
-    _lowered: int | None = None
+    # A lower ceiling whose write has not been confirmed.
+    _pending_ceiling: int | None = None
 
     @property
     def unspent(self) -> int:
@@ -135,9 +142,9 @@
         return self.ceiling - self.spent - self.reserved
 
     def reserve(self, tokens: int) -> RefusalReason | None:
-        """Set tokens aside before a request is sent.
+        """Reserve tokens before a request is sent.
 
-        :returns: why it failed, ``None`` if it succeeded
+        :returns: the reason for a refusal, ``None`` if the tokens are reserved
         """
         withheld = self._withheld_from(tokens)
         if tokens <= self.unspent and tokens + withheld <= self.remaining():
@@ -154,26 +161,27 @@
         )
 
     def settle(self, reserved: int, used: int) -> None:
-        """Release a reservation and count the tokens used of it."""
+        """Release a reservation and count the tokens used, at most those reserved."""
         self.reserved -= reserved
         self.spent += min(reserved, used)
         self.used += min(reserved, used)
 
     def lend(self, tokens: int) -> int:
-        """Count tokens as spent here, so that a peer may spend them; return how many.
+        """Count up to this many unspent tokens as spent, so that a peer may spend them.
 
-        All unspent tokens may be lent: a peer asks only for what it needs at once.
+        :returns: tokens lent
         """
         lent = max(0, min(tokens, self.unspent))
         self.spent += lent
         return lent
 
     def lend_headroom(self, tokens: int, headroom: int) -> int:
-        """Lend to an instance that holds no allotment; return how many tokens.
+        """Lend tokens that a peer needs now, and some headroom.
 
-        :param tokens: tokens that it needs now
+        :param tokens: tokens that the peer needs now
         :param headroom: further tokens that it requests; it gets at most a fraction of
-            those that remain
+            those that remain unspent here
+        :returns: tokens lent
         """
         spare = max(0, self.unspent - tokens)
         return self.lend(tokens + min(headroom, int(LOAN_HEADROOM_FRACTION * spare)))
@@ -186,7 +194,7 @@
         self.spent -= tokens
 
     def read(self, row: AllotmentRow, version: int) -> None:
-        """Update the account from the row at a version.
+        """Update the account from the row at a version; ignore older versions.
 
         A stored ceiling above the known one comes from a write whose response was lost.
         It is used unless a write that lowers it may still take effect.
@@ -197,15 +205,14 @@
         self.version = version
         entry = row.find(self.holder, self.boot)
         stored = 0 if entry is None else entry.ceiling
-        if self._lowered is not None:
-            stored = min(stored, self._lowered)
+        if self._pending_ceiling is not None:
+            stored = min(stored, self._pending_ceiling)
         self.ceiling = max(stored, self.spent + self.reserved)
 
     def propose(self, headroom: int, now: float) -> Change:
-        """Return the row with a new entry for this incarnation.
+        """Return a change that gives this incarnation a new entry in the row.
 
-        The ceiling is negative if this incarnation borrowed more tokens than it used
-        and its headroom is smaller than the difference.
+        The ceiling may be negative if more tokens were borrowed than used and lent.
 
         :param headroom: tokens beyond those spent and reserved
         """
@@ -219,24 +226,24 @@
         """Apply a lower ceiling before the change is written."""
         if change.ceiling < self.ceiling:
             self.ceiling = change.ceiling
-            self._lowered = change.ceiling
+            self._pending_ceiling = change.ceiling
 
     def confirm_write(self, change: Change, version: int) -> None:
         """Apply a change that was written."""
         self.row = change.row
         self.version = version
         self.ceiling = change.ceiling
-        self._lowered = None
+        self._pending_ceiling = None
 
     def close(self) -> AllotmentRow:
-        """Return the row without this incarnation, which may reserve nothing more."""
+        """Stop reservations; return the row without the entry of this incarnation."""
         self.ceiling = self.spent
         return self.row.without(self.holder, self.spent, self.used)
 
     def reopen(self) -> None:
         """Resume after a close that was certainly not written."""
         entry = self.row.find(self.holder, self.boot)
-        if entry is not None and self._lowered is None:
+        if entry is not None and self._pending_ceiling is None:
             self.ceiling = entry.ceiling
 
     def describe(self) -> dict[str, int]:
@@ -264,7 +271,7 @@
     @property
     def has_pending_decrease(self) -> bool:
         """Whether a lower ceiling is applied that may not be in the row yet."""
-        return self._lowered is not None
+        return self._pending_ceiling is not None
 
     @property
     def has_earlier_incarnation(self) -> bool:
@@ -281,10 +288,10 @@
     def remaining(self) -> int:
         """Return the tokens that the workspace may still spend, as known here.
 
-        They include free tokens and those unspent here, but neither tokens that others
-        borrowed nor those of an earlier incarnation, which are unavailable here.
-        Entries of others may be stale, so the result is bounded by the tokens that are
-        not known to be used.
+        These are the free tokens, those unspent here and the unspent ones of other
+        allotments, without tokens on loan to other instances and those of an earlier
+        incarnation of this one. The entries of others may be stale, so the result is
+        bounded by the tokens that are not known to be used.
         """
         others = sum(
             allotment.spent + allotment.lent for allotment in self.others().values()
@@ -313,6 +320,7 @@
         return 0 if self.is_small(tokens) else self.withheld
 
     def _known_spent(self) -> int:
+        """Return the tokens used by all instances, as known here."""
         own = self.row.find(self.holder, self.boot)
         known = 0 if own is None else own.spent
         return self.row.known_spent - known + self.used
--- a/packages/pondquay/src/pondquay/budgets/allotments.py
+++ b/packages/pondquay/src/pondquay/budgets/allotments.py
@@ -4,8 +4,8 @@
 one, a ceiling on its spending. The sum never exceeds the prepaid tokens, and an
 instance spends only up to the ceiling that it knows to be in the row. So the budget is
 never overspent in a partition or after a crash, and this does not depend on clocks. The
-next incarnation of an instance closes the previous one as if its whole ceiling had been
-spent.
+next incarnation of an instance closes the previous one as if all tokens up to its
+ceiling had been spent.
 """
 
 from __future__ import annotations
@@ -22,15 +22,18 @@
     from collections.abc import Mapping
 
 
-# Above any real budget; sums over all holders stay exact.
+# Largest stored token count; readers of JSON may round larger integers.
 MAX_TOKENS = 1 << 53
 Tokens = Annotated[int, Meta(ge=0, le=MAX_TOKENS)]
-# Negative if more tokens were borrowed than lent.
+# A token count that loans can make negative.
 Balance = Annotated[int, Meta(ge=-MAX_TOKENS, le=MAX_TOKENS)]
 
 
 class _RowDocument(msgspec.Struct, frozen=True):
-    """A row as stored: token counts in the order of the fields of the classes."""
+    """A stored row.
+
+    The tuples have the field order of :class:`AllotmentRow` and :class:`Allotment`.
+    """
 
     closed: tuple[Balance, Tokens]
     holders: dict[str, tuple[str, Balance, Tokens, Tokens, Balance]]
@@ -40,15 +43,15 @@
 class Allotment:
     """The entry of one open incarnation of an instance.
 
-    Only this incarnation writes it, and the next one removes it.
+    Only this incarnation writes it, and the next one replaces it.
 
     :param boot: the incarnation
-    :param ceiling: the most tokens that this incarnation may ever spend: those used by
-        requests and lent, less those borrowed
+    :param ceiling: maximum number of tokens that this incarnation may spend: those used
+        by requests and lent, less those borrowed
     :param spent: tokens used by requests when the entry was written, without loans
     :param rate: tokens requested per second
     :param lent: tokens lent when the entry was written, less those borrowed; negative
-        if it borrowed more
+        if more were borrowed
     """
 
     boot: str
@@ -96,7 +99,7 @@
         return entry if entry is not None and entry.boot == boot else None
 
     def with_entry(self, holder: str, entry: Allotment) -> AllotmentRow:
-        """Return the row with a new entry; that of another incarnation is closed."""
+        """Return the row with a new entry, which closes that of another incarnation."""
         holders = {**self.holders, holder: entry}
         previous = self.holders.get(holder)
         if previous is None or previous.boot == entry.boot:
@@ -108,7 +111,7 @@
     def without(self, holder: str, spent: int, used: int) -> AllotmentRow:
         """Return the row after an instance has returned its unspent tokens.
 
-        :param spent: tokens it used and lent, less those it borrowed
+        :param spent: tokens that it used and lent, less those that it borrowed
         :param used: tokens used by its requests
         """
         holders = {
--- a/packages/pondquay/src/pondquay/budgets/closer.py
+++ b/packages/pondquay/src/pondquay/budgets/closer.py
@@ -1,4 +1,4 @@
-"""Programs that close a holder's unused grants and settle their late attempts."""
+"""Programs that close a holder's grants and settle attempts that end afterwards."""
 
 from __future__ import annotations
 
@@ -25,9 +25,9 @@
 
 @dataclass(slots=True)
 class MaintenanceResult:
-    """Results of a program that the caller has to report to requests and witnesses.
+    """Results that the caller of a program reports to requests and witnesses.
 
-    :param recorded: attempts whose bills are in the table now
+    :param recorded: attempts whose outcomes are in the table now
     :param refused: attempts that will not run
     :param notices: messages to witnesses
     """
@@ -40,7 +40,7 @@
 class GrantCloser:
     """Closes grants of a holder in the table.
 
-    :param is_pending: returns whether a grant has a change with an unknown outcome
+    :param is_pending: returns whether the outcome of a grant's last change is unknown
     :param next_segment: returns the key of the next segment of bills
     """
 
@@ -57,8 +57,8 @@
     def close_pending(self, result: MaintenanceResult) -> Program[None]:
         """Close all grants in the state ``CLOSING``."""
         for holding in self._holder.list_holdings():
-            closing = holding.state is HoldingState.CLOSING
-            if closing and not self._is_pending(holding):
+            is_closing = holding.state is HoldingState.CLOSING
+            if is_closing and not self._is_pending(holding):
                 yield from self._close(holding, result)
 
     def _close(self, holding: Holding, result: MaintenanceResult) -> Program[None]:
@@ -68,6 +68,7 @@
         if not isinstance(outcome, Closed):
             return
         if not outcome.by_caller:
+            # The row was written earlier and may still hold attempts settled since.
             resolved = yield from self._resolve(holding, settled)
             if not resolved:
                 return
@@ -77,7 +78,7 @@
             result.notices.append((holding.witness, forget))
 
     def settle_late_attempts(self, result: MaintenanceResult) -> Program[None]:
-        """Settle attempts in the table that ended after their grant was closed."""
+        """Write the outcomes of attempts that ended after their grant was closed."""
         for holding in self._holder.list_holdings():
             settled = list(holding.settled())
             if holding.state is not HoldingState.CLOSED or not settled:
@@ -88,7 +89,7 @@
                 self._holder.note_closed(holding, settled)
 
     def _resolve(self, holding: Holding, settled: Sequence[Attempt]) -> Program[bool]:
-        """Settle attempts of a closed grant in the table."""
+        """Settle attempts of a closed grant; return whether they are settled."""
         outcome = yield from resolve_held(
             holding.workspace,
             holding.id,
--- a/packages/pondquay/src/pondquay/budgets/closings.py
+++ b/packages/pondquay/src/pondquay/budgets/closings.py
@@ -1,6 +1,6 @@
 """Table programs that close grants and settle the attempts that closed grants hold.
 
-Like all programs, they read, decide and commit under the versions that they read.
+They commit on condition that the rows that they read have not changed.
 """
 
 from __future__ import annotations
@@ -63,8 +63,8 @@
 class Closed:
     """The grant is no longer open.
 
-    :param by_caller: whether this program's transaction closed it; otherwise another
-        one did before, and the row holds the state that it wrote
+    :param by_caller: whether this call closed it; otherwise it was closed before, and
+        its row, if there is one, has the state written then
     """
 
     by_caller: bool
@@ -74,9 +74,10 @@
 
 
 def close_grant(closing: Closing) -> Program[CloseOutcome]:
-    """Return a grant's remaining tokens, keep its held attempts and write its bills.
+    """Close a grant in the table.
 
-    The caller has made sure that nothing is ever spent from the grant again.
+    This returns its remaining tokens to the budget, stores its held attempts and writes
+    its bills. The caller ensures that the grant is used for no further attempts.
     """
     budget_row_key = budget_key(closing.workspace)
     grant_row_key = grant_key(closing.grant)
@@ -147,9 +148,9 @@
     bills: Sequence[Bill],
     segment: str,
 ) -> Program[Resolved | Unreachable | OutcomeUnknown]:
-    """Settle attempts that a sealed grant still holds, each only once.
+    """Settle attempts that a sealed grant still holds; skip those settled before.
 
-    :param bills: the bills of those resolutions that are billed
+    :param bills: bills of the billed attempts
     :param segment: the key under which the bills are written
     """
     budget_row_key = budget_key(workspace)
--- a/packages/pondquay/src/pondquay/budgets/demands.py
+++ b/packages/pondquay/src/pondquay/budgets/demands.py
@@ -14,7 +14,7 @@
     from pondquay.budgets.holdings import Holding
     from pondquay.budgets.rows import BudgetRow
 
-# Workspaces for which an instance holds tokens before it has received a request.
+# Number of tracked workspaces from which no more are added before their first request.
 MAX_WATCHED = 200
 # Time constant of the exponential average of the demand.
 RATE_SECONDS = 900.0
@@ -45,8 +45,8 @@
     def fleet_rate(self, holdings: Sequence[Holding], instances: int) -> float:
         """Return the tokens that all instances spend per second.
 
-        The budget's row holds the sum; this instance's part of it is replaced by its
-        own, newer rate.
+        The budget's row has the reported sum, in which this instance's part is replaced
+        by its newer rate. Without a sum, every instance is assumed to have this rate.
 
         :param holdings: this instance's grants of the workspace
         """
@@ -110,6 +110,7 @@
 
         :param requested: tokens that waiting requests need now
         :param holdings: this instance's grants of the workspace
+        :param instances: number of instances that spend the budget, as far as known
         """
         demand = self.find(workspace)
         budget = demand.budget
--- a/packages/pondquay/src/pondquay/budgets/directory.py
+++ b/packages/pondquay/src/pondquay/budgets/directory.py
@@ -1,4 +1,4 @@
-"""The interface through which grants and witnesses learn of other instances."""
+"""The interface that lists other instances as witnesses and reports their state."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class WitnessDirectory(ABC):
-    """Lists the instances that can witness grants.
+    """Lists possible witnesses and reports which instances are usable or presumed dead.
 
     Wrong results never lead to overspending.
     """
@@ -25,7 +25,10 @@
 
     @abstractmethod
     def is_presumed_dead(self, peer: InstanceId) -> bool:
-        """Return whether a peer was unresponsive for long enough to be replaced."""
+        """Return whether a peer has been unresponsive for a long time.
+
+        Grants that it holds or witnesses are then closed.
+        """
 
     @abstractmethod
     def count(self) -> int:
--- a/packages/pondquay/src/pondquay/budgets/headroom.py
+++ b/packages/pondquay/src/pondquay/budgets/headroom.py
@@ -1,4 +1,4 @@
-"""Plans the headroom of an instance: unspent tokens that it holds beyond its demand.
+"""Plans the headroom of an instance: the tokens that it holds unreserved.
 
 Headroom lets an instance serve requests while the table is unreachable. Other instances
 cannot spend it, and it is lost if the instance dies. So it is proportional to the
@@ -12,13 +12,14 @@
 if TYPE_CHECKING:
     from pondquay.budgets.accounts import Account
 
-# Requests of the largest size in the fleet's headroom, in addition to its demand.
+# Number of requests of the largest size that the fleet's headroom covers in addition to
+# its rate.
 HEADROOM_REQUESTS = 1
-# The fleet's headroom as a fraction of the prepaid tokens, while no demand is known.
+# The fleet's headroom as a fraction of the prepaid tokens while no demand is known.
 INITIAL_HEADROOM_FRACTION = 0.15
 # Upper limit of the fleet's headroom as a fraction of the prepaid tokens.
 MAX_HEADROOM_FRACTION = 0.25
-# Upper limit of an instance's headroom, as a fraction of the prepaid tokens, while the
+# Upper limit of an instance's headroom as a fraction of the prepaid tokens while the
 # row has no entries of others.
 FIRST_INSTANCE_FRACTION = 0.03
 # Fraction of the mean rate that is added to each instance's rate, so that instances
@@ -29,14 +30,17 @@
 # An instance without an allotment borrows headroom if its unspent tokens are below this
 # fraction of its plan.
 TOP_UP_FRACTION = 0.3
-# A surplus is returned if it exceeds both this fraction of the target,
+# Fraction of the target that a surplus must exceed to be returned.
 SURPLUS_FRACTION = 0.2
-# and this fraction of the prepaid tokens.
+# Fraction of the prepaid tokens that a surplus must exceed to be returned.
 MIN_RETURN_FRACTION = 0.005
 
 
 def share_of_demand(account: Account, now: float) -> float:
-    """Return this instance's fraction of the demand in the row."""
+    """Return this instance's fraction of the demand of all instances in the row.
+
+    A floor is added to each rate, so that no fraction is 0.
+    """
     own = account.demand.rate(now)
     rates = [float(allotment.rate) for allotment in account.others().values()]
     mean = (own + sum(rates)) / (1 + len(rates))
@@ -71,19 +75,19 @@
 def plan_borrowed_headroom(account: Account, now: float) -> int:
     """Return the headroom that an instance without an allotment should borrow.
 
-    There are many such instances, each with few requests, and tokens that one of them
-    holds are missing at the instance that gets the next request. So a single request
-    does not count as the start of a series, and less is held if few tokens remain.
+    There are many such instances, each with few requests, and an instance cannot use
+    the tokens that another one holds. So a single request yields only a low rate, and
+    the headroom is limited to a fraction of the remaining tokens.
     """
-    headroom = account.policy.ahead_seconds * account.demand.mean_rate(now)
+    headroom = account.policy.ahead_seconds * account.demand.uncorrected_rate(now)
     return int(min(headroom, max_borrowed(account, now)))
 
 
 def max_borrowed(account: Account, now: float) -> float:
     """Return the most headroom that an instance without an allotment may hold.
 
-    This is its share, by demand, of a fraction of the remaining tokens. If its largest
-    request does not fit into that share, the policy's minimum applies.
+    This is its share, by demand, of a fraction of the remaining tokens. If that is less
+    than its largest request or than the policy's minimum, the minimum applies.
     """
     remaining = max(0, account.remaining())
     share = (
@@ -100,14 +104,14 @@
     demand of the fleet. The result is 0 while the row has no rates.
     """
     others = sum(allotment.rate for allotment in account.others().values())
-    own = account.demand.mean_rate(now)
+    own = account.demand.uncorrected_rate(now)
     return own / max(own, others) if others and own else 0.0
 
 
 def plan_top_up(account: Account, now: float) -> int:
-    """Return what an instance without an allotment should borrow ahead of requests.
+    """Return the tokens that an instance without an allotment should borrow in advance.
 
-    This raises the tokens with which it serves requests while it cannot reach lenders.
+    They serve requests while no lender is reachable.
     """
     planned = plan_borrowed_headroom(account, now)
     missing = planned - account.unspent
@@ -117,7 +121,7 @@
 
 
 def plan_return(account: Account, now: float) -> int:
-    """Return the tokens that an instance without an allotment should return."""
+    """Return the surplus that an instance without an allotment should return."""
     planned = plan_borrowed_headroom(account, now)
     if not account.policy.return_surplus:
         return 0
@@ -144,8 +148,8 @@
 def request_tokens(account: Account, tokens: int) -> None:
     """Record that a request waits for tokens.
 
-    The largest waiting request determines the plan, unless the row has no tokens for
-    it: a large request that has to be refused must not block small ones.
+    The largest waiting request determines the plan, unless the row has too few tokens
+    for it: a large request that has to be refused must not block small ones.
     """
     if _max_headroom_for(account, account.requested) <= account.unspent:
         account.requested = 0
@@ -166,8 +170,7 @@
     limit = account.max_headroom()
     large_request_limit = max_large_request_headroom(account)
     if account.has_earlier_incarnation:
-        # Closes the earlier incarnation even if no tokens are available. Until then
-        # large requests could use the tokens for small ones.
+        # Any write closes the earlier incarnation, even if no tokens are available.
         return min(large_request_limit, target)
     if account.has_pending_decrease:
         return min(limit, max(unspent, target))
@@ -177,8 +180,8 @@
     if unspent < account.requested <= available:
         return max(min(large_request_limit, target), account.requested)
     if unspent < available < account.requested <= available + lendable_tokens(account):
-        # Takes everything free and borrows the rest: neither the row nor the lenders
-        # alone have enough for the request.
+        # Neither the row nor the lenders alone have enough tokens for the request, so
+        # this instance takes what the row has and can borrow the rest.
         return available
     if unspent < REFILL_FRACTION * target and large_request_limit > unspent:
         return min(large_request_limit, target)
--- a/packages/pondquay/src/pondquay/budgets/holder.py
+++ b/packages/pondquay/src/pondquay/budgets/holder.py
@@ -1,7 +1,7 @@
 """The holder's side of grants: its unspent tokens and its attempts.
 
-A holder reserves the most that an attempt can cost, reports the attempt to the witness
-and starts it only after the witness has acknowledged it. See
+A holder reserves the maximum cost of an attempt, reports the attempt to the witness and
+starts it only after the witness has acknowledged it. See
 ``docs/design/budgets.md``.
 """
 
@@ -56,19 +56,20 @@
         ]
 
     def count_open(self) -> int:
-        """Return the number of usable grants."""
+        """Return the number of open grants."""
         return sum(
             holding.state is HoldingState.OPEN for holding in self.holdings.values()
         )
 
     def list_holdings(self) -> list[Holding]:
-        """Return a copy of the list of grants, so that grants may be dropped."""
+        """Return a copy of the list of grants; a loop over it can drop grants."""
         return list(self.holdings.values())
 
     def set_amount(self, grant: GrantId, amount: int, *, lost: bool = False) -> None:
-        """Apply the amount that the table has for a grant.
+        """Apply the amount of a grant in the table.
 
-        :param lost: whether the grant is no longer open in the table
+        :param lost: whether the grant is no longer open in the table; its use is then
+            stopped
         """
         holding = self.holdings[grant]
         if lost and holding.state in (HoldingState.OPENING, HoldingState.OPEN):
@@ -79,7 +80,7 @@
             holding.state = HoldingState.OPEN
 
     def drop_unopened(self, grant: GrantId) -> None:
-        """Drop a grant for which the table granted nothing and never will."""
+        """Drop a grant that is not in the table and never will be."""
         if self.holdings[grant].state is HoldingState.OPENING:
             del self.holdings[grant]
 
@@ -98,10 +99,10 @@
         usable: Callable[[InstanceId | None], bool],
         boot: str = "",
     ) -> Attempt | None:
-        """Reserve tokens for one attempt from the usable grant with most free tokens.
+        """Reserve tokens for an attempt from the usable grant with the most free ones.
 
-        :param tokens: the most that the attempt can cost
-        :param usable: returns whether a witness can be reached
+        :param tokens: maximum cost of the attempt
+        :param usable: returns whether a grant with this witness can be used
         :param boot: the incarnation of the upstream
         :returns: the attempt, ``None`` if no grant has enough free tokens
         """
@@ -126,7 +127,7 @@
         return attempt
 
     def find(self, attempt: AttemptId) -> Attempt | None:
-        """Return an attempt whose outcome is not in the table yet."""
+        """Return an attempt, ``None`` if it is unknown or has been dropped."""
         holding = self.holdings.get(attempt.grant)
         return None if holding is None else holding.attempts.get(attempt.seq)
 
@@ -170,7 +171,8 @@
         """Record how an attempt ended and release its unused tokens.
 
         :param billed: tokens to bill, ``None`` if the attempt is not billed
-        :returns: the tokens billed, at most those reserved
+        :returns: the tokens billed, at most those reserved; ``None`` if the attempt is
+            not billed, unknown or already settled
         :raises InvariantError: if an attempt that was never acknowledged is billed
         """
         attempt = self.find(attempt_id)
@@ -192,7 +194,7 @@
         return attempt.billed
 
     def take_messages(self, witness: InstanceId) -> list[HolderMessage]:
-        """Return the messages that were not yet sent to a witness."""
+        """Return the unsent messages to a witness and mark them as sent."""
         messages: list[HolderMessage] = []
         for holding in self.holdings.values():
             if holding.witness == witness:
@@ -200,7 +202,7 @@
         return messages
 
     def requeue_unconfirmed(self, witness: InstanceId) -> None:
-        """Queue everything unconfirmed to be sent to a witness again."""
+        """Queue unconfirmed intents and outcomes to be sent to a witness again."""
         for holding in self.holdings.values():
             if holding.witness == witness:
                 holding.unsent.update(holding.unconfirmed())
@@ -222,12 +224,12 @@
     def unflushed(self, max_count: int) -> list[Attempt]:
         """Return settled attempts whose bills may not be in the table yet.
 
-        :param max_count: the most attempts to return
+        :param max_count: maximum number of attempts to return
         """
         return list(islice(self._unflushed.values(), max_count))
 
     def list_unwitnessed(self) -> set[AttemptId]:
-        """Return settled attempts whose bill may be neither stored nor at a witness."""
+        """Return settled attempts whose bills may be neither stored nor witnessed."""
         return {
             attempt.id for attempt in self._unflushed.values() if not attempt.witnessed
         }
@@ -249,8 +251,8 @@
     def take_finished(self) -> list[tuple[InstanceId, Flushed]]:
         """Drop finished attempts; return messages for their witnesses.
 
-        An attempt that ended while its grant is being closed may be held in the grant's
-        row, so it is kept until it is settled there.
+        An attempt of a grant that is being closed may be held in the grant's row, so it
+        is kept until it is settled there.
         """
         finished, self._finished = self._finished, {}
         by_grant: dict[GrantId, list[int]] = {}
@@ -267,7 +269,7 @@
         ]
 
     def describe_close(self, holding: Holding, segment: str) -> Closing:
-        """Return the state of a grant, to close it in the table."""
+        """Return the state of a grant with which to close it in the table."""
         held = {
             attempt.id.seq: HeldIntent(
                 str(attempt.request),
@@ -291,7 +293,7 @@
         """Record that a grant is closed in the table.
 
         :param written: attempts whose outcomes are in the table
-        :returns: a message for the witness, ``None`` if the grant has none
+        :returns: a message for the witness, ``None`` if the grant has no witness
         """
         holding.state = HoldingState.CLOSED
         for attempt in written:
--- a/packages/pondquay/src/pondquay/budgets/holdings.py
+++ b/packages/pondquay/src/pondquay/budgets/holdings.py
@@ -44,13 +44,13 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """One attempt, from its reservation until its outcome is in the table.
+    """An attempt for which a holder reserved tokens.
 
-    :param reserve: the most tokens that the attempt can cost
+    :param reserve: maximum cost of the attempt in tokens
     :param boot: the incarnation of the upstream
     :param billed: tokens to bill, ``None`` if unknown or not billed
     :param witnessed: whether the witness has confirmed the outcome
-    :param flushed: whether the bill is in the table
+    :param flushed: whether the bill, if any, is in the table
     """
 
     id: AttemptId
@@ -66,7 +66,7 @@
 
     @property
     def intent(self) -> Intent:
-        """The message to the witness about this attempt."""
+        """The intent that is sent to the witness."""
         return Intent(
             self.id.seq,
             self.request,
@@ -94,8 +94,9 @@
     :param demand: tokens spent per hour, as stored in the row
     :param reported: tokens billed, as stored in the row
     :param reserved: tokens reserved for running attempts
-    :param attempts: attempts whose outcome is not yet in the table, by sequence number
-    :param unsent: those whose current state is not yet sent to the witness
+    :param attempts: attempts that are not finished, by sequence number; a finished one
+        is settled, flushed and, if the grant has a witness, witnessed
+    :param unsent: attempts whose current state is not yet sent to the witness
     """
 
     id: GrantId
@@ -136,7 +137,7 @@
         }
 
     def settled(self) -> Iterator[Attempt]:
-        """Return the settled attempts that are not yet in the table."""
+        """Return the settled attempts that have not been dropped."""
         return (
             attempt
             for attempt in self.attempts.values()
--- a/packages/pondquay/src/pondquay/budgets/lenders.py
+++ b/packages/pondquay/src/pondquay/budgets/lenders.py
@@ -1,8 +1,9 @@
 """Chooses the instances that hold allotments of a workspace and lend to the others.
 
-In a small fleet all instances do. In a larger one the row would have too many writers,
-so rendezvous hashing chooses a few instances of each failure domain: all instances
-agree without messages, and the workspaces are spread over the fleet.
+In a small fleet all instances hold allotments. In a larger one the row would have too
+many writers, so rendezvous hashing chooses a few instances of each failure domain: all
+instances choose the same without messages, and the workspaces are spread over the
+fleet.
 """
 
 from __future__ import annotations
--- a/packages/pondquay/src/pondquay/budgets/manager.py
+++ b/packages/pondquay/src/pondquay/budgets/manager.py
@@ -38,14 +38,21 @@
     from pondquay.names import InstanceId
     from pondquay.tables import Program
 
+# Maximum number of attempts whose bills are written in one transaction.
 MAX_BILLS = 200
+# Number of adjustments from which a rebalancing plans no further workspaces.
 MAX_ADJUSTMENTS = 50
-# Relative change of a grant's figures from which its row is updated.
+# Relative change of a grant's figures above which its row is updated.
 REPORT_DRIFT_FRACTION = 0.05
 
 
 class RefillResult(StrEnum):
-    """The result of a refill for one workspace."""
+    """The result of a refill for one workspace.
+
+    ``GAINED``: tokens were added; ``GRANT_LOST``: the grant was closed or is missing;
+    ``EXHAUSTED``: no tokens were added; ``UNREACHABLE``: for use by callers if a refill
+    has no result.
+    """
 
     GAINED = "gained"
     GRANT_LOST = "grant-lost"
@@ -72,6 +79,7 @@
         self._directory = directory
         self._number = 0
         self._closer = GrantCloser(holder, self._is_pending, self._next_segment)
+        # Whether the last write of bills failed.
         self._probing = False
 
     def _decide(self, workspace: str, requested: int) -> int:
@@ -103,7 +111,7 @@
         return (yield from self._adjust(planned))
 
     def _read_budgets(self, workspaces: Iterable[str]) -> Program[None]:
-        """Read budgets that are not known yet, to size the first grants."""
+        """Read the budgets that are not known yet; the policy needs them."""
         missing = [
             name for name in workspaces if self.demands.find(name).budget is None
         ]
@@ -137,17 +145,17 @@
         requested = sum(tokens)
         holding = self._choose_holding(workspace)
         decided = self._decide(workspace, requested)
-        merged = self._merge(workspace, holding)
+        merged = self._plan_merge(workspace, holding)
         delta = max(requested, decided) + sum(
             -adjustment.delta for adjustment in merged
         )
-        smallest = min(tokens) - holding.free
-        return [*merged, self._adjustment(holding, delta, max(1, smallest))]
+        min_delta = min(tokens) - holding.free
+        return [*merged, self._make_adjustment(holding, delta, max(1, min_delta))]
 
-    def _merge(self, workspace: str, target: Holding) -> list[Adjustment]:
-        """Return the free tokens of the other grants of the workspace.
+    def _plan_merge(self, workspace: str, target: Holding) -> list[Adjustment]:
+        """Plan to return the free tokens of the workspace's other grants.
 
-        A request has to fit into one grant.
+        A request has to fit into one grant, so they are granted to the target instead.
         """
         others = [
             holding
@@ -159,18 +167,19 @@
     def _plan_return(
         self, holdings: Sequence[Holding], tokens: int
     ) -> list[Adjustment]:
+        """Deduct free tokens from grants, and plan to return them to the budget."""
         planned = []
         for holding in holdings:
             if self._is_pending(holding):
                 continue
             returned = self.holder.shrink(holding.id, tokens)
             if returned:
-                planned.append(self._adjustment(holding, -returned))
+                planned.append(self._make_adjustment(holding, -returned))
                 tokens -= returned
         return planned
 
-    def _adjustment(
-        self, holding: Holding, delta: int, smallest: int = 1
+    def _make_adjustment(
+        self, holding: Holding, delta: int, min_delta: int = 1
     ) -> Adjustment:
         self._number += 1
         return Adjustment(
@@ -182,7 +191,7 @@
             demand=self._demand_of(holding),
             used=holding.spent,
             reports=delta == 0,
-            smallest=smallest,
+            min_delta=min_delta,
             creates=holding.state is HoldingState.OPENING,
         )
 
@@ -193,7 +202,7 @@
         return int(rate * SECONDS_PER_HOUR / max(1, shares))
 
     def _choose_holding(self, workspace: str) -> Holding:
-        """Return a usable grant; open one if there is none."""
+        """Return the usable grant with the most free tokens; open one if necessary."""
         usable = [
             holding
             for holding in self.holder.of_workspace(workspace)
@@ -206,7 +215,7 @@
         return self.holder.open(workspace, self._choose_witness())
 
     def _choose_witness(self) -> InstanceId | None:
-        """Return the peer of the domain that witnesses the fewest of these grants."""
+        """Return the possible witness with the fewest grants of this holder."""
         counts = dict.fromkeys(self._directory.witnesses(), 0)
         if not counts:
             return None
@@ -216,12 +225,13 @@
         return min(counts, key=lambda peer: (counts[peer], peer))
 
     def _is_pending(self, holding: Holding) -> bool:
+        """Return whether an adjustment of a grant has an unknown outcome."""
         return any(adjustment.grant == holding.id for adjustment in self.unknown)
 
     def _adjust(
         self, planned: Sequence[Adjustment]
     ) -> Program[dict[str, RefillResult]]:
-        """Make adjustments; return the result for each workspace."""
+        """Commit adjustments; return their results by workspace, as far as known."""
         yield from self._resolve_unknown()
         if self.unknown:
             self._undo(planned)
@@ -261,7 +271,7 @@
         return results
 
     def _undo(self, planned: Sequence[Adjustment]) -> None:
-        """Restore tokens that were not returned; drop grants that were not opened."""
+        """Restore tokens that were not returned; drop grants that were not created."""
         for adjustment in planned:
             holding = self.holder.holdings[adjustment.grant]
             if adjustment.delta < 0:
@@ -297,8 +307,8 @@
         yield from self._resolve_unknown()
         for holding in self.holder.list_holdings():
             witness = holding.witness
-            is_lost = witness is not None and self._directory.is_presumed_dead(witness)
-            if holding.state is HoldingState.OPEN and is_lost:
+            is_dead = witness is not None and self._directory.is_presumed_dead(witness)
+            if holding.state is HoldingState.OPEN and is_dead:
                 result.refused += self.holder.begin_close(holding)
         yield from self._closer.close_pending(result)
         yield from self._closer.settle_late_attempts(result)
@@ -333,15 +343,15 @@
             yield from self._adjust(planned)
 
     def _plan_rebalance(self, workspace: str) -> list[Adjustment]:
-        """Plan a refill, a return, or only a report of the grants' figures."""
+        """Plan a refill, a return, or an update of the grants' reported figures."""
         delta = self._decide(workspace, 0)
         own = self.holder.of_workspace(workspace)
         if delta > 0:
-            return [self._adjustment(self._choose_holding(workspace), delta)]
+            return [self._make_adjustment(self._choose_holding(workspace), delta)]
         if delta < 0:
             return self._plan_return(own, -delta)
         return [
-            self._adjustment(holding, 0)
+            self._make_adjustment(holding, 0)
             for holding in own
             if self._is_worth_reporting(holding) and not self._is_pending(holding)
         ]
@@ -362,7 +372,7 @@
     def flush(self, max_bills: int = MAX_BILLS) -> Program[list[Attempt]]:
         """Write the bills of settled attempts to the table in one transaction.
 
-        While the table is unreachable, a single bill is written as a probe.
+        After a failed write, single bills are written as probes until one succeeds.
 
         :returns: the attempts whose bills are now in the table
         """
--- a/packages/pondquay/src/pondquay/budgets/messages.py
+++ b/packages/pondquay/src/pondquay/budgets/messages.py
@@ -13,7 +13,7 @@
     """An attempt that the holder will make once the witness has acknowledged it.
 
     :param seq: sequence number of the attempt in its grant
-    :param reserve: the most tokens that the attempt can cost
+    :param reserve: maximum cost of the attempt in tokens
     :param boot: the incarnation of the upstream at which the attempt is made; other
         incarnations have no record of it
     """
@@ -30,7 +30,7 @@
 class Settlement:
     """The outcome of an attempt.
 
-    :param billed: tokens to bill, ``None`` if the attempt is not billed at all
+    :param billed: tokens to bill, ``None`` if the attempt is not billed
     """
 
     seq: int
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Intend:
-    """Holder to witness: attempts to acknowledge. The first one opens the grant."""
+    """Holder to witness: attempts to acknowledge; the first message opens the grant."""
 
     grant: GrantId
     workspace: str
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settle:
-    """Holder to witness: outcomes of attempts, valid also after sealing."""
+    """Holder to witness: outcomes of attempts, accepted also after sealing."""
 
     grant: GrantId
     workspace: str
@@ -86,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SettleRefused:
-    """Witness to holder: the grant is unknown here; write to the table instead."""
+    """Witness to holder: the grant is unknown, so the table has to be used instead."""
 
     grant: GrantId
     seqs: tuple[int, ...]
@@ -112,7 +112,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Recall:
-    """To all instances: the budget is fully granted; return tokens not needed.
+    """To all instances: too few tokens are free in the budget; return some.
 
     :param tokens: tokens that a waiting request needs
     """
--- a/packages/pondquay/src/pondquay/budgets/programs.py
+++ b/packages/pondquay/src/pondquay/budgets/programs.py
@@ -1,7 +1,7 @@
-"""Table programs that change the amounts of grants, and list them.
+"""Table programs that change the amounts of grants and list grants.
 
-Every program reads, decides and commits under the versions that it read. If two
-programs conflict, one succeeds and the other reads again. None of them depends on time.
+The programs commit on condition that the rows that they read have not changed. If two
+of them conflict, one succeeds and the other one retries. None depends on clocks.
 """
 
 from __future__ import annotations
@@ -52,10 +52,10 @@
     :param operation: identifier of the change
     :param demand: tokens per hour that the holder spends
     :param used: tokens of the grant that are billed
-    :param smallest: the fewest tokens worth adding; if fewer are free, none are added
+    :param min_delta: the fewest tokens to add; if fewer are free, none are added
     :param reports: whether to write ``demand`` and ``used`` if the amount is unchanged
-    :param creates: whether the grant is new; otherwise a missing grant is lost and is
-        never created again
+    :param creates: whether the grant is new; otherwise it is lost if it is missing, and
+        it is not created again
     """
 
     workspace: str
@@ -65,7 +65,7 @@
     operation: str
     demand: int = 0
     used: int = 0
-    smallest: int = 1
+    min_delta: int = 1
     reports: bool = False
     creates: bool = False
 
@@ -76,7 +76,7 @@
 
     :param amount: the current amount of the grant in tokens, 0 if it is not open
     :param budget: the budget as last read, ``None`` if the workspace has none
-    :param lost_grant: whether the grant was open before and no longer is
+    :param lost_grant: whether the grant was created before and is no longer open
     """
 
     adjustment: Adjustment
@@ -87,7 +87,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AdjustmentsUnknown:
-    """The outcome of adjustments is unknown; their tokens may not be spent yet."""
+    """The outcome of adjustments is unknown; their tokens must not be spent."""
 
     adjustments: tuple[Adjustment, ...]
 
@@ -98,7 +98,7 @@
 def adjust_grants(adjustments: Sequence[Adjustment]) -> Program[AdjustOutcome]:
     """Change the amounts of several grants of one holder in one transaction.
 
-    :param adjustments: at most one for a grant
+    :param adjustments: at most one per grant
     """
     keys = _adjustment_keys(adjustments)
     for _ in range(MAX_TRIES):
@@ -201,7 +201,7 @@
 def _choose_delta(
     adjustment: Adjustment, budget: BudgetRow | None, grant: GrantRow | None
 ) -> int:
-    """Return the change that is possible for the grant, 0 for none."""
+    """Return the possible change of the grant's amount, 0 if there is none."""
     sealed = grant is not None and grant.state is not GrantState.OPEN
     if budget is None or sealed:
         return 0
@@ -210,7 +210,7 @@
     if adjustment.delta < 0:
         return 0 if grant is None else max(adjustment.delta, -grant.amount)
     delta = min(adjustment.delta, budget.free)
-    return delta if delta >= adjustment.smallest else 0
+    return delta if delta >= adjustment.min_delta else 0
 
 
 def _change_budget(
--- a/packages/pondquay/src/pondquay/budgets/rows.py
+++ b/packages/pondquay/src/pondquay/budgets/rows.py
@@ -1,8 +1,9 @@
 """Rows of budgets and grants in the platform's table.
 
-``budget/W`` holds the limit of a workspace and the tokens granted from it. To all other
-instances, granted tokens count as spent: every transaction keeps ``granted <= limit``,
-so no partition, pause or outage can lead to overspending.
+``budget/W`` holds the limit of workspace ``W`` and the tokens granted from it;
+``grant/G`` holds the state of grant ``G``. To all instances other than its holder, a
+grant counts as spent, and no transaction grants tokens beyond the limit. So no
+partition, pause or outage can lead to overspending.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 
 
 class GrantState(StrEnum):
-    """Whether a grant is still usable."""
+    """Whether a grant is usable or closed."""
 
     OPEN = "open"
     SEALED = "sealed"
@@ -102,9 +103,9 @@
     def remainder(self) -> int:
         """Tokens of a sealed grant that are neither billed nor reserved for attempts.
 
-        If the witness has not received the outcome of an attempt, the attempt's whole
+        If the witness has not received the outcome of an attempt, the attempt's full
         reserve is held, while the holder may have reserved or returned its unused
-        tokens. Then more tokens are held than the grant has, and the remainder is 0.
+        tokens. Then more tokens may be held than the grant has; the remainder is 0.
         """
         held = sum(intent.reserve for intent in self.held.values())
         return max(0, self.amount - self.spent - held)
@@ -130,7 +131,7 @@
 
 
 def parse_grant_key(key: str) -> GrantId:
-    """Return the grant that a row's key names."""
+    """Return the identifier of the grant with this row key."""
     return GrantId.parse(key.removeprefix(GRANT_PREFIX))
 
 
--- a/packages/pondquay/src/pondquay/budgets/sizing.py
+++ b/packages/pondquay/src/pondquay/budgets/sizing.py
@@ -1,4 +1,4 @@
-"""Grant policies: a naive equal split, and shares in proportion to demand."""
+"""Grant policies: a naive equal split and shares in proportion to demand."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 # Longest outage of the table that an instance's tokens should last for.
 OUTAGE_SECONDS = 5400.0
-# Smallest limit of an instance's tokens, in requests of the largest size.
+# Lower bound of the limit on an instance's tokens, in requests of the largest size.
 MIN_REQUESTS = 16
-# Fraction of the target by which an instance's tokens may differ from it.
+# Fraction of the target by which an instance's tokens may differ from the target.
 SLACK_FRACTION = 0.05
 # Fraction of a budget that all instances together hold before the first request, so
 # that each can serve it while the table is unreachable.
@@ -17,10 +17,10 @@
 
 @GRANT_POLICIES.register("equal-split")
 class EqualSplit(GrantPolicy):
-    """Naive policy: each instance holds an equal share of the whole budget."""
+    """Naive policy: each instance holds an equal share of the budget."""
 
     def decide(self, view: GrantView) -> int:
-        """Refill to an equal share once less than a tenth of it is free."""
+        """Refill to an equal share for a request or if at most a tenth is available."""
         share = view.limit // max(1, view.instances)
         if view.requested == 0 and view.available * 10 > share:
             return 0
@@ -31,13 +31,13 @@
 class Proportional(GrantPolicy):
     """Splits the remaining budget in proportion to each instance's demand.
 
-    The share is limited to the tokens needed during a long outage. Differences from the
-    target within a slack are ignored. Before the first request, each instance holds a
-    base.
+    The share is limited to the tokens needed during a long outage. Small differences
+    from the target are ignored. Before its first request, an instance holds an equal
+    part of a small fraction of the budget.
     """
 
     def decide(self, view: GrantView) -> int:
-        """Adjust to the target once the distance exceeds the slack."""
+        """Cover waiting requests; otherwise adjust to the target beyond a slack."""
         target = max(view.requested, self._target(view))
         distance = target - view.available - view.reserved
         slack = max(view.largest, int(SLACK_FRACTION * target))
--- a/packages/pondquay/src/pondquay/budgets/succession.py
+++ b/packages/pondquay/src/pondquay/budgets/succession.py
@@ -1,8 +1,8 @@
 """The witness's programs: seal and close the grants of a holder presumed dead.
 
 Sealing is always safe: the holder can never dispatch an attempt that is not in the
-witness's list. So the other tokens are returned to the budget at once, and each attempt
-in the list is resolved by asking its upstream.
+witness's list. So tokens that are neither spent nor reserved for these attempts are
+returned to the budget at once, and each attempt is resolved by asking its upstream.
 """
 
 from __future__ import annotations
@@ -52,7 +52,7 @@
     :param instance: this incarnation of the witness
     :param witness: the grants that it witnesses
     :param directory: reports which holders are presumed dead
-    :ivar sealed: sealed grants that are not completely resolved
+    :ivar sealed: sealed grants whose attempts are not all resolved in the table
     """
 
     def __init__(
@@ -77,7 +77,7 @@
         return newly
 
     def seal(self, grant: GrantId, workspace: str) -> None:
-        """Acknowledge no more attempts of a grant, and start to close it."""
+        """Stop acknowledging attempts of a grant and mark it to be closed."""
         self._witness.seal(grant, workspace)
         self.sealed.setdefault(grant, SealedGrant(grant))
 
--- a/packages/pondquay/src/pondquay/budgets/witness.py
+++ b/packages/pondquay/src/pondquay/budgets/witness.py
@@ -1,8 +1,8 @@
 """The witness's side of grants: attempts that other instances may have dispatched.
 
 A witness keeps every attempt that it has acknowledged until its outcome is known. Once
-a grant is sealed, the witness acknowledges no more attempts of it. So its list contains
-all attempts that the holder can ever dispatch, however long the holder was paused.
+a grant is sealed, the witness acknowledges no more attempts of it. So it has a record
+of all attempts that the holder can ever dispatch, even after a long pause.
 """
 
 from __future__ import annotations
@@ -38,7 +38,8 @@
     )
 
 MAX_GRANTS = 50_000
-MAX_OPEN = 10_000
+# Maximum number of open attempts of one grant.
+MAX_OPEN_ATTEMPTS = 10_000
 
 
 @dataclass(slots=True)
@@ -78,11 +79,14 @@
 class Witness:
     """All grants of other instances that one instance witnesses.
 
-    :param max_grants: the most grants to keep; further ones are refused
-    :param max_open: the most open attempts to keep for one grant
+    :param max_grants: maximum number of grants; further ones are refused
+    :param max_open: maximum number of open attempts of one grant; a message that
+        exceeds it is refused
     """
 
-    def __init__(self, max_grants: int = MAX_GRANTS, max_open: int = MAX_OPEN) -> None:
+    def __init__(
+        self, max_grants: int = MAX_GRANTS, max_open: int = MAX_OPEN_ATTEMPTS
+    ) -> None:
         self.grants: dict[GrantId, WitnessedGrant] = {}
         self._highest: dict[InstanceId, int] = {}
         self._max_grants = max_grants
@@ -115,10 +119,10 @@
         )
 
     def _open_grant(self, grant_id: GrantId, workspace: str) -> WitnessedGrant | None:
-        """Return a grant; open it if its number is higher than any of this holder.
+        """Return a grant; open it if its number is the highest so far of its holder.
 
-        A grant with a lower number that is not kept here is refused: it was dropped, or
-        its messages arrived out of order. The holder then closes it itself.
+        An unknown grant with a lower number is refused: it was dropped, or messages
+        arrived out of order. The holder then closes it itself.
         """
         grant = self.grants.get(grant_id)
         if grant is not None:
@@ -156,7 +160,8 @@
     def _receive_flushed(self, message: Flushed) -> None:
         grant = self.grants.get(message.grant)
         if grant is None or grant.sealed:
-            # The row of a sealed grant may hold the attempt until it is resolved.
+            # The row of a sealed grant may hold the attempt, which needs its bill to be
+            # resolved.
             return
         for seq in message.seqs:
             grant.bills.pop(seq, None)
@@ -165,7 +170,7 @@
         self.grants.pop(message.grant, None)
 
     def seal(self, grant_id: GrantId, workspace: str) -> WitnessedGrant:
-        """Acknowledge no more attempts of a grant, including one unknown so far."""
+        """Stop acknowledging attempts of a grant; it may be unknown so far."""
         highest = self._highest.get(grant_id.holder, 0)
         self._highest[grant_id.holder] = max(highest, grant_id.number)
         grant = self.grants.setdefault(grant_id, WitnessedGrant(grant_id, workspace))
@@ -173,7 +178,7 @@
         return grant
 
     def describe_close(self, grant: WitnessedGrant, segment: str) -> Closing:
-        """Return the state of a sealed grant, to close it in the table."""
+        """Return the state of a sealed grant with which to close it in the table."""
         held = {
             seq: HeldIntent(
                 str(intent.request),
--- a/packages/pondquay/tests/budgets/test_sizing.py
+++ b/packages/pondquay/tests/budgets/test_sizing.py
@@ -1,3 +1,5 @@
+"""Tests of the proportional grant policy before the first request."""
+
 from __future__ import annotations
 
 from dataclasses import replace
