--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/accounts.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/accounts.py
@@ -31,24 +31,26 @@
     from pondquay_daemon.relay.store import RowChange, Snapshot, Store
 
 ADJUST_INTERVAL_SECONDS = 0.5
-# On a fleet's first start, instances discover each other for this long before they
-# claim allotments.
+# Time in which starting instances discover each other before they claim allotments of
+# unused workspaces.
 STARTUP_SECONDS = 1.5
-# Successive waits for tokens from the table before a request is refused, in seconds.
+# Successive waits for tokens from the table before they are borrowed, in seconds.
 TABLE_RETRY_WAITS = (0.02, 0.04, 0.08)
-# Delay before a caller retries that is refused while the table is unreachable.
+# Delay after which a caller that is refused while the table is unreachable retries.
 OUTAGE_RETRY_SECONDS = 2.0
 RETURN_UNSPENT_ATTEMPTS = 4
-# Up to ten lenders may write a row at the same time, and one write succeeds per round.
+# Several lenders may write a row at the same time, of which one succeeds per round.
 WRITE_ATTEMPTS = 10
 
 
 class AccountBook(Task, TableListener):
     """Holds the accounts of this incarnation of an instance.
 
-    At most one write per workspace is in flight, so an account knows what a write may
-    have changed whose response was lost.
+    At most one write per workspace is in flight, so that an account can track what a
+    write without a response may have changed.
 
+    :param holder: name of this instance
+    :param boot: identifies this incarnation of the instance
     :param reachable: returns whether the last call to the table succeeded
     :param lender: borrows tokens from other instances
     :param knows_fleet: returns whether the list of instances has been read
@@ -88,7 +90,7 @@
         self.repeat(ADJUST_INTERVAL_SECONDS, self._adjust_all)
 
     def apply_table(self, table: RouteTable) -> None:
-        """Update the prepaid tokens of each workspace from a new route table."""
+        """Create or update the account of each prepaid workspace."""
         for workspace in table.configuration.workspaces:
             if workspace.prepaid is None:
                 continue
@@ -153,8 +155,9 @@
     def retry_after_seconds(self, refused: RefusalReason) -> float:
         """Return the seconds after which a refused caller should retry.
 
-        An instance that has not read a budget's row yet has just started, possibly
-        together with all others, and can only borrow once links are open.
+        An instance that has not read the workspace's row yet has usually just started
+        and can borrow only once links are open, so the caller waits until the startup
+        period ends.
         """
         default_delay = self._policy.come_back_seconds
         if refused is RefusalReason.OUT_OF_REACH:
@@ -206,7 +209,8 @@
                 self._start_refill(workspace, account, tokens)
         lent = account.lend_headroom(tokens, headroom)
         if headroom:
-            # The row shows no demand of borrowers, so it counts as this instance's.
+            # The row does not record demand of borrowers, so it counts as this
+            # instance's demand.
             account.demand.note_lent(max(tokens, lent), self.clock.seconds())
         if lent:
             self._metrics.loans.labels("lent").inc(lent)
@@ -217,8 +221,8 @@
     def _start_refill(self, workspace: str, account: Account, tokens: int) -> None:
         """Borrow on behalf of a borrower, unless the table has the tokens.
 
-        Requests of other lenders are not passed on like this: otherwise lenders would
-        borrow from each other in a cycle.
+        This is not done for other lenders, since lenders would then borrow from each
+        other in a cycle.
         """
         if not self._loans.lends(workspace):
             return
@@ -253,7 +257,7 @@
     ) -> None:
         """Credit tokens that a peer has transferred.
 
-        :param returned: whether the peer returns tokens that it had borrowed
+        :param returned: whether the peer transfers them without a request
         """
         account = self._accounts.get(workspace)
         if account is not None:
@@ -270,7 +274,8 @@
     async def return_unspent(self) -> None:
         """Close the allotments, which returns unspent tokens to the budgets.
 
-        If the store certainly did not close one, its tokens are transferred to a peer.
+        The tokens of an allotment that was certainly not closed are transferred to a
+        peer, unless each attempt failed because the row had changed.
         """
         self._closed = True
         steps = [
@@ -319,8 +324,8 @@
         if not self._reachable():
             return
         if name in self._unread:
-            # A borrower needs the row only once it has had a request: its headroom
-            # depends on the tokens left and on the others' demand.
+            # A borrower reads the row only after its first request, to compute its
+            # headroom from the remaining tokens and the demand of other instances.
             is_due = lends or account.demand.largest > 0
         else:
             is_due = lends and self._has_plan(account)
@@ -339,7 +344,7 @@
     def _may_claim(self, account: Account) -> bool:
         """Return whether this instance may claim an allotment now.
 
-        On a fleet's first start it waits until the startup period ends.
+        During the startup period it may not claim allotments of unused workspaces.
         """
         now = self.clock.seconds()
         return now >= self._startup_ends_at or not _is_unclaimed(account, now)
@@ -371,5 +376,5 @@
 
 
 def _is_unclaimed(account: Account, now: float) -> bool:
-    """Return whether no instance holds or requested tokens, as on a first start."""
+    """Return whether no instance holds an allotment and this one has no demand."""
     return not account.row.holders and not account.demand.rate(now)
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/allotmentrows.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/allotmentrows.py
@@ -29,14 +29,17 @@
     from pondquay_daemon.relay.store import Store
 
 TABLE = "allotments"
-# Delay after a failed call. Consecutive failures double it, up to a limit, so that
-# retries do not keep an overloaded table busy.
+# Minimum of the random delay after a failed call. Consecutive failures double the
+# maximum, up to a limit, so that retries do not overload the table.
 RETRY_SECONDS = 0.1
 MAX_DOUBLINGS = 4
 
 
 class AllotmentRows:
-    """Synchronizes accounts with their rows, with one call per account at a time."""
+    """Synchronizes accounts with their rows.
+
+    Callers make at most one call per account at a time.
+    """
 
     def __init__(self, clock: IReactorTime, store: Store) -> None:
         self._clock = clock
@@ -97,8 +100,8 @@
     async def close(self, name: str, account: Account) -> bool | None:
         """Remove this instance's entry from the row.
 
-        :returns: whether the account is closed, ``None`` if the row has changed and
-            the write should be retried
+        :returns: whether the account is closed, also if the outcome of the write is
+            unknown; ``None`` if the row has changed and the write should be retried
         """
         if account.row.find(account.holder, account.boot) is None:
             return account.unspent == 0
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/configurationfetch.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/configurationfetch.py
@@ -16,19 +16,21 @@
     from pondquay_daemon.relay.peerlinks import PeerLink
     from pondquay_daemon.relay.peerlistener import PeerListener
 
-# The store usually delivers a change within the first delay, and a large configuration
-# over a slow link within the second.
+# Delay before peers are asked, in which the store usually delivers a change.
 FETCH_WAIT_SECONDS = 0.25
+# Further delay while the store is reachable, in which it usually delivers a large
+# configuration over a slow link.
 STORE_WAIT_SECONDS = 1.0
-# Time in which a peer sends a large configuration over a slow link.
+# Time for a peer's response, also with a large configuration over a slow link.
 FETCH_SECONDS = 0.7
 
 
 class ConfigurationFetch:
     """Requests the configuration from peers until none has a newer version.
 
-    It first waits for the store, which notifies most instances at the same time. It
-    asks one random peer at a time so that the configuration is transferred only once.
+    It first waits for the store, which notifies most instances at the same time. Then
+    it asks one random peer at a time, so that the configuration is usually transferred
+    only once.
 
     :param links: live view of all open links
     """
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/crashmonitor.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/crashmonitor.py
@@ -43,10 +43,10 @@
 ROW_REMOVAL_SECONDS = 8.0
 # Longest time that a request waits for a check.
 MAX_CHECK_WAIT_SECONDS = CHECK_DELAY_SECONDS + CONNECT_SECONDS + MIN_OPEN_SECONDS
-# A request that has streamed events for longer is not suspected: a request that crashes
-# its upstream does so when it begins to run.
+# Requests that have streamed events for this long are not suspected, since a request
+# that crashes its upstream does so when it begins to run.
 SUSPECT_STREAM_SECONDS = 1.0
-# Lost contents that are kept per upstream while its check is pending.
+# Maximum number of contents of lost requests that are recorded per upstream.
 MAX_PENDING_CONTENTS = 1024
 OWN_SOURCE = "here"
 BLOCKED_REASON = "upstreams crashed under this request"
@@ -72,7 +72,7 @@
     :param instance: name of this instance
     :param domains: returns the domain of each known instance
     :param announce: sends reports to all peers
-    :param keep: updates the table's row of a content that is or was blocked
+    :param persist: updates the table's row of a content that is or was blocked
     """
 
     def __init__(
@@ -81,14 +81,14 @@
         instance: str,
         domains: Callable[[], Mapping[str, str]],
         announce: Callable[[Iterable[CrashReport]], None],
-        keep: Callable[[CrashReport], None],
+        persist: Callable[[CrashReport], None],
         metrics: RelayMetrics,
     ) -> None:
         self._reactor = reactor
         self._instance = instance
         self._domains = domains
         self._announce = announce
-        self._keep = keep
+        self._persist = persist
         self._metrics = metrics
         self.history = CrashHistory(reactor.seconds, self._ranks_first)
         self._broken: dict[str, _BrokenUpstream] = {}
@@ -115,7 +115,7 @@
     async def wait_for_check(self, content: bytes) -> None:
         """Wait for pending checks that may cause the content to be blocked.
 
-        Otherwise a retry could crash a further upstream before the result is known.
+        Otherwise a retry could crash another upstream before the result is known.
         """
         pending = [
             broken for broken in self._broken.values() if content in broken.contents
@@ -135,7 +135,7 @@
         if broken is None:
             return
         if self._reactor.seconds() - broken.since <= ROW_REMOVAL_SECONDS:
-            self._note_crashed(upstream, "row gone")
+            self._note_crashed(upstream, "row removed")
         else:
             del self._broken[upstream]
 
@@ -148,14 +148,14 @@
         self._announce([report])
         if before.blocked:
             self._log_decision(report, OWN_SOURCE)
-            self._keep(report)
+            self._persist(report)
 
     def receive(self, report: CrashReport, source: str) -> None:
         """Merge a report from a peer or the table.
 
-        Reports that block or clear a content are forwarded to all peers, since not all
-        instances of a large fleet are linked. Other reports are not forwarded: each
-        crash causes dozens of them.
+        Changes to contents that are or were blocked are forwarded to all peers, since
+        not all instances of a large fleet are linked. Other reports are not forwarded,
+        since each crash causes dozens of them.
         """
         before = self.history.find(report.content)
         if not self.history.receive(report):
@@ -169,7 +169,7 @@
         if now.blocked != was_blocked:
             self._log_decision(now, source)
         if now.blocked != was_blocked and self._ranks_first(now.content):
-            self._keep(now)
+            self._persist(now)
 
     def check(self, content: bytes) -> Refusal | None:
         """Return a refusal if the content is blocked, ``None`` otherwise."""
@@ -185,7 +185,7 @@
             return False
         log_event("content-tried", content=content.hex(), trials=report.trials)
         self._announce([report])
-        self._keep(report)
+        self._persist(report)
         return True
 
     def describe(self) -> list[dict[str, object]]:
@@ -212,12 +212,12 @@
         if broken is None:
             return
         if result is Listening.NO:
-            self._note_crashed(upstream, "nobody listens")
+            self._note_crashed(upstream, "connection refused")
         elif result is Listening.YES:
             del self._broken[upstream]
         broken.checked.callback(None)
 
-    def _note_crashed(self, upstream: str, why: str) -> None:
+    def _note_crashed(self, upstream: str, reason: str) -> None:
         broken = self._broken.pop(upstream, None)
         if broken is None:
             return
@@ -225,7 +225,7 @@
             "upstream-crashed",
             Level.WARNING,
             upstream=upstream,
-            why=why,
+            why=reason,
             requests=len(broken.contents),
         )
         noted = [
@@ -236,7 +236,7 @@
         for report in reports:
             if report.blocked:
                 self._log_decision(report, OWN_SOURCE)
-                self._keep(report)
+                self._persist(report)
 
     def _log_decision(self, report: CrashReport, source: str) -> None:
         log_event(
@@ -249,7 +249,7 @@
         )
 
     def _ranks_first(self, content: bytes) -> bool:
-        """Return whether this instance ranks first for a content, by rendezvous."""
+        """Return whether rendezvous hashing ranks this instance first for a content."""
         name = content.hex()
         ranked: Iterable[str] = self._domains()
         best = min(ranked, key=lambda instance: score_pair(name, instance), default="")
@@ -263,7 +263,7 @@
 
 
 class ContentPermit:
-    """Checks whether a request may be sent, given the crashes under its content.
+    """Checks whether a request may be sent, given the crashes that its content caused.
 
     :param owner: workspace of the caller, empty if there is none
     """
@@ -299,7 +299,9 @@
         return None if self._on_trial else refusal
 
     def recheck(self, sends: int) -> Refusal | None:
-        """Return a refusal if the request must not be sent again, ``None`` otherwise.
+        """Return a refusal if the request must not be sent, ``None`` otherwise.
+
+        The first send of a trial is always permitted.
 
         :param sends: number of times that it has been sent
         """
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/crashrows.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/crashrows.py
@@ -1,8 +1,8 @@
-"""Persisting blocked contents in the store, for when all instances are lost.
+"""Persistence of blocked contents in the store, in case all instances are lost.
 
 Peers exchange crash reports over links. The rows are for instances that start without
 peers; each instance reads them once. Without them, a blocked request would crash
-upstreams again after a restart of the whole fleet.
+upstreams again after a restart of the entire fleet.
 """
 
 from __future__ import annotations
@@ -35,13 +35,13 @@
 
 TABLE = "crashes"
 RETRY_SECONDS = 0.5
-# Rows beyond an instance's limit in memory that it deletes at its start; each deletion
-# is a write.
+# Maximum number of rows beyond the limit in memory that an instance deletes when it
+# starts; each deletion is a write.
 MAX_DELETED = 16
 
 
 class CrashRows:
-    """Reads all rows at the start, and writes rows of contents that change here.
+    """Reads all rows at startup and writes the rows of contents with new reports.
 
     :param receive: called with the report of each row that is read
     :param find: returns the current report of a content
@@ -102,7 +102,7 @@
         if isinstance(row, Unreachable):
             return False
         if row is not None:
-            # Merged first, so that concurrent writers converge on the same row.
+            # The row is merged first, so that concurrent writers converge on one value.
             self._receive_row(row)
         report = self._find(content)
         value = None
@@ -135,11 +135,12 @@
 class _CrashDocument(msgspec.Struct, frozen=True):
     """A content's row, which other builds read and write as well.
 
-    The ages are those at the time of the write. They may become stale, since whether a
-    content is blocked depends only on their differences.
+    Ages are as of the write and are not updated, since only their differences determine
+    whether a content is blocked.
 
-    :param crashed: incarnations of upstreams; some builds store them with their ages
-    :param ages: seconds since the crashes; some builds store none
+    :param crashed: crashed incarnations of upstreams; some builds store them with the
+        ages
+    :param ages: seconds since the crashes, by incarnation; some builds store none
     """
 
     crashed: list[str] | _Ages
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/feeds.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/feeds.py
@@ -18,15 +18,15 @@
 
     from pondquay_daemon.relay.store import RowChange, Store
 
-# Polls are short so that an unresponsive connection is detected.
+# Maximum duration of a poll, short so that an unresponsive connection is detected soon.
 POLL_SECONDS = 0.9
-# Bounds of the random delay after a failed call.
+# Bounds of the random delay after a failed call, in seconds.
 RETRY_DELAY_BOUNDS = (0.1, 0.35)
 # After a failed poll or a lost history, reads may be stale for a while, so the table is
 # reread periodically until this time has passed.
 REREAD_PERIOD_SECONDS = 10.0
 REREAD_INTERVAL_SECONDS = 0.7
-# Share of the time that rereads may take, as they share a link with callers' requests.
+# Maximum fraction of time spent on rereads, which share a link with callers' requests.
 MAX_REREAD_FRACTION = 0.05
 
 
@@ -84,7 +84,7 @@
     :param pause: returns the seconds between two polls, for tables that change often
         and whose changes are not urgent
     :param rereads: whether the table is reread while reads may be stale; unnecessary
-        if every writer of a row learns its latest version
+        if every writer of a row receives its latest version
     """
 
     def __init__(
@@ -149,7 +149,7 @@
                 await sleep(pause, self._clock)
 
     async def _step(self) -> bool:
-        """Read or poll once; an error must not end the feed."""
+        """Read or poll once; an error is logged and does not end the feed."""
         try:
             if self._since is None:
                 return await self._read()
@@ -196,8 +196,8 @@
     def _get_confirmed_time(self, reply: Changes, started_at: float) -> float:
         """Return the time as of which a response is certainly valid, in seconds.
 
-        A poll without changes is valid as of its end. Dated by its start, the state of
-        an idle table would appear up to two polls old.
+        A poll without changes is valid as of its end. If its start were used, the state
+        of an idle table would appear up to two polls old.
         """
         waited = self._clock.seconds() - started_at >= POLL_SECONDS
         return started_at + POLL_SECONDS if waited and not reply.changes else started_at
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/fetch.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/fetch.py
@@ -70,10 +70,7 @@
 
 
 class Fetcher:
-    """Makes calls to one address.
-
-    :param address: address of the server
-    """
+    """Makes calls to the server at one address."""
 
     def __init__(self, clock: IReactorTime, pool: EgressPool, address: Address) -> None:
         self._clock = clock
@@ -85,7 +82,7 @@
     ) -> FetchedResponse | Unreachable | OutcomeUnknown:
         """Make a call.
 
-        :param seconds: timeout, after which a call that was sent has an unknown outcome
+        :param seconds: timeout; the outcome is unknown if the call was sent by then
         """
         collector = _Collector()
         exchange = Exchange(
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/knowledge.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/knowledge.py
@@ -21,7 +21,7 @@
     from pondquay_daemon.relay.store import RowChange, Snapshot
 
 
-# Malformed rows that are remembered; rows beyond them are logged on each read.
+# Maximum number of malformed rows that are recorded; others are logged on each read.
 MAX_MALFORMED = 1024
 
 
@@ -70,7 +70,7 @@
 
     def offer(self, value: JsonObject) -> bool:
         """Apply a configuration if it is newer; return whether it was applied."""
-        known = self.version
+        current = self.version
         if self.value is not None and value == self.value:
             return False
         try:
@@ -78,14 +78,14 @@
         except MalformedValueError as error:
             log_event("configuration-malformed", Level.ERROR, error=error)
             return False
-        if configuration.version <= known:
+        if configuration.version <= current:
             return False
         self.table = RouteTable(configuration)
         self.value = value
         log_event(
             "configuration-in-force",
             version=configuration.version,
-            before=known,
+            before=current,
             routes=len(configuration.routes),
         )
         self._on_change(self.table)
@@ -127,10 +127,10 @@
                 records[row.key] = (record, row.version)
         before = {key: self.directory.find_listed(key) for key in records}
         changed = self.directory.replace(records, snapshot.version)
-        for key, known in before.items():
-            self._report_ended(known, key)
+        for key, previous in before.items():
+            self._report_ended(previous, key)
         if self.known:
-            # All rows of the first list are new; only their number is logged.
+            # All rows of the first snapshot are new; only their number is logged.
             for upstream in changed:
                 is_missing = upstream.missing_since is not None
                 self._report_change(
@@ -156,11 +156,11 @@
         self._report_ended(before, change.key)
 
     def note_synced(self) -> None:
-        """Pass on that the list is synchronized."""
+        """Record in the directory that the list is synchronized."""
         self.directory.note_synced()
 
     def note_disconnected(self) -> None:
-        """Pass on that the list is unreachable."""
+        """Record in the directory that the list is unreachable."""
         self.directory.note_disconnected()
 
     def describe(self) -> list[dict[str, object]]:
@@ -199,7 +199,7 @@
     def _record_malformed(
         self, key: str, version: int, error: MalformedValueError
     ) -> None:
-        """Discard the upstream of a malformed row and log it once per version."""
+        """Discard the upstream of a malformed row; log the error once per version."""
         if self.malformed.get(key, (0, ""))[0] < version:
             log_event(
                 "row-malformed", Level.ERROR, upstream=key, version=version, error=error
@@ -208,11 +208,11 @@
             self.malformed[key] = (version, str(error))
         self._report_change("upstream-unreadable", self.directory.discard(key, version))
 
-    def _report_ended(self, before: KnownUpstream | None, key: str) -> None:
-        """Report that the row's previous incarnation ended, if it did."""
+    def _report_ended(self, previous: KnownUpstream | None, key: str) -> None:
+        """Report the row's previous incarnation if it is no longer listed."""
         after = self.directory.find_listed(key)
-        if before is not None and after is not before:
-            self._on_removed(before.name)
+        if previous is not None and after is not previous:
+            self._on_removed(previous.name)
 
     def _report_change(self, event: str, upstream: KnownUpstream | None) -> None:
         if upstream is None:
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/linkplans.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/linkplans.py
@@ -13,16 +13,17 @@
     from pondquay.addresses import Address
     from pondquay_daemon.relay.member import Member
 
-# An idle link carries a heartbeat after this time.
+# Interval after which an idle link carries a heartbeat.
 HEARTBEAT_SECONDS = 0.5
 # Of two instances, the one whose name sorts first opens the link. The other opens it
 # only after this delay, so that they do not open two links when the fleet starts.
 FALLBACK_OPEN_SECONDS = HEARTBEAT_SECONDS
-# Limits for links to instances in the own domain, from which an instance borrows; to
-# lenders of its workspaces in other domains; and to other instances there, so that
-# announcements reach all domains.
+# Maximum number of links to instances in the own domain, which lend tokens.
 MAX_NEAR_LINKS = 64
+# Maximum number of links to co-lenders in other domains.
 MAX_CO_LENDER_LINKS = 24
+# Number of links to other domains up to which links to further instances there are
+# opened, so that announcements reach all domains.
 MAX_FAR_LINKS = 16
 
 
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/loadannouncer.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/loadannouncer.py
@@ -19,8 +19,8 @@
 class LoadAnnouncer:
     """Collects changes of upstreams' loads and announces them together.
 
-    Most prompts are processed before the announcement is due and are omitted, which
-    saves bandwidth in large fleets.
+    Most prompts are processed before an announcement is due and need not be announced,
+    which saves bandwidth in large fleets.
 
     :param send: sends a message to all peers
     :param is_large: returns whether the fleet is so large that the longer delay applies
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/loandemands.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/loandemands.py
@@ -1,4 +1,4 @@
-"""Loan requests to peers that have not been answered yet."""
+"""Pending loan requests to peers."""
 
 from __future__ import annotations
 
@@ -37,8 +37,8 @@
 class LoanDemands:
     """An instance's pending demands, at most one per link and workspace.
 
-    A lender does not know that the borrower has timed out. With one demand for each
-    request, a slow link could transfer all tokens of a workspace to one instance.
+    A lender transfers tokens even if the borrower has timed out. With one demand for
+    each request, a slow link could transfer all tokens of a workspace to one instance.
     """
 
     def __init__(self, clock: IReactorTime) -> None:
@@ -66,7 +66,7 @@
         return await wait_at_most(demand.response, seconds, self._clock, 0)
 
     def complete(self, link: PeerLink, loan: Loan) -> None:
-        """Complete the demand that a loan answers, if there is one."""
+        """Complete the demand to which a loan responds, if it is still pending."""
         demand = self._demands.get((link, loan.workspace))
         if demand is not None and demand.number == loan.number:
             del self._demands[link, loan.workspace]
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/loans.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/loans.py
@@ -1,8 +1,8 @@
 """Loans of tokens between instances: choice of lenders, amounts and returns.
 
 Instances that hold allotments lend to each other. In a larger fleet most instances hold
-no allotment of a workspace; they borrow some seconds of their demand from lenders in
-their domain and return the surplus.
+no allotment of a workspace; they borrow tokens for some seconds of their demand from
+lenders in their domain and return the surplus.
 """
 
 from __future__ import annotations
@@ -23,8 +23,9 @@
     from pondquay.budgets.accounts import Account, RefusalReason
     from pondquay.policy import RelayPolicy
 
+# Maximum number of lenders that are asked in turn.
 MAX_LENDERS = 8
-# Successive delays before lenders are asked again, in seconds, in which they may get
+# Successive delays before lenders are asked again, in seconds. Meanwhile they may claim
 # tokens from the table.
 LENDER_RETRY_WAITS = (0.03, 0.06)
 
@@ -46,7 +47,7 @@
     async def borrow(
         self, peer: str, workspace: str, tokens: int, headroom: int = 0
     ) -> int:
-        """Request tokens; those received are credited before this returns.
+        """Request and credit tokens; return how many were received in time.
 
         :param headroom: tokens that an instance without an allotment requests beyond
             its need
@@ -84,7 +85,7 @@
         self._domains: Mapping[str, str] = {}
         self._chosen: dict[str, frozenset[str]] = {}
         self._co_lenders: frozenset[str] = frozenset()
-        self._co_lenders_of: tuple[Mapping[str, str], int] | None = None
+        self._co_lenders_key: tuple[Mapping[str, str], int] | None = None
 
     def set_startup_end(self, time: float) -> None:
         """Set the time until which links and the list of instances are awaited.
@@ -97,7 +98,7 @@
         """Return whether this instance should hold an allotment of a workspace.
 
         An instance without a link to any lender holds its own allotment, but not during
-        startup: when a whole fleet starts there are no links yet, and the table cannot
+        startup: when an entire fleet starts there are no links yet, and the table cannot
         take writes of every instance for every workspace.
         """
         startup_ended = self._clock.seconds() >= self._startup_ends_at
@@ -138,7 +139,8 @@
     async def refill(self, account: Account, workspace: str, tokens: int) -> None:
         """Borrow from other lenders on behalf of a borrower.
 
-        Borrowers have links to lenders in their domain, lenders also to each other.
+        Borrowers are mainly linked to lenders in their domain, while lenders are also
+        linked to lenders in other domains.
         """
         for peer in self._rank_lenders(account, workspace):
             missing = tokens - account.unspent
@@ -159,13 +161,13 @@
             await self._lender.borrow(peer, workspace, 0, missing)
 
     def co_lenders(self, workspaces: Collection[str]) -> frozenset[str]:
-        """Return the lenders of the workspaces for which this instance also lends."""
-        known = self._lender.domains, len(workspaces)
-        if self._co_lenders_of != known:
+        """Return the other lenders of the workspaces for which this instance lends."""
+        key = self._lender.domains, len(workspaces)
+        if self._co_lenders_key != key:
             chosen = [self._choose_lenders(workspace) for workspace in workspaces]
             shared = [lenders for lenders in chosen if self._instance in lenders]
             self._co_lenders = frozenset().union(*shared) - {self._instance}
-            self._co_lenders_of = known
+            self._co_lenders_key = key
         return self._co_lenders
 
     def return_surplus(self, workspace: str, account: Account) -> None:
@@ -203,7 +205,10 @@
             )
 
     def _rank_lenders(self, account: Account, workspace: str) -> list[str]:
-        """Return reachable lenders: those nearby first, then by unspent tokens."""
+        """Return reachable lenders, those with the most unspent tokens first.
+
+        For a borrower, lenders in its own domain come before all others.
+        """
         chosen = self._choose_lenders(workspace)
         reachable = [name for name in self._lender.peers if name in chosen]
         others = account.others()
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/member.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/member.py
@@ -19,7 +19,7 @@
 
     @classmethod
     def parse(cls, address: str, domain: str) -> Member:
-        """Create a member from an address as sent to peers.
+        """Return the member with an address in text form.
 
         :raises ValueError: if the address is malformed
         """
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/members.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/members.py
@@ -69,7 +69,7 @@
         log_event("joined", instance=self._instance, address=member.address)
 
     async def leave(self) -> None:
-        """Delete this instance's row, if the store is reachable."""
+        """Try once to delete this instance's row."""
         await self._write(None)
 
     async def _write(self, value: JsonObject | None) -> bool:
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/peerdispatcher.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/peerdispatcher.py
@@ -21,8 +21,9 @@
 # Sources of announcements, for the logs.
 FROM_PEER = "peer"
 FROM_STORE = "store"
-# Reports that are sent on a new link, limited so that starting instances do not
-# saturate links; reports on other contents arrive as they change.
+# Maximum numbers of reports on blocked and suspected contents that are sent on a new
+# link, so that starting instances do not saturate links. Other reports are sent when
+# they change.
 MAX_ANNOUNCED_BLOCKED = 64
 MAX_ANNOUNCED_SUSPECTED = 64
 
@@ -59,7 +60,7 @@
         self._crashes = crashes
 
     def configuration_version(self) -> int:
-        """Return the version of the configuration in force here, 0 if there is none."""
+        """Return the version of this instance's configuration, 0 if there is none."""
         return self._configuration.version
 
     def store_reachable(self) -> bool:
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/peerlinks.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/peerlinks.py
@@ -40,16 +40,16 @@
         """Remove a link that was closed."""
 
     @abstractmethod
-    def end_connecting(self, address: Address) -> None:
-        """Record that a link to an address failed or was closed."""
+    def note_connection_ended(self, address: Address) -> None:
+        """Record that a connection to an address failed or was closed."""
 
 
 class PeerLink(Protocol):
     """A connection to another instance; both ends behave alike.
 
     :ivar last_seen_at: time of the last message from the peer, in seconds
-    :ivar has_sent: whether anything was sent since the last heartbeat interval
-    :ivar supported_codes: codes of the messages that the peer has declared to support
+    :ivar has_sent: whether anything was sent in the current heartbeat interval
+    :ivar supported_codes: codes of the messages for which the peer has declared support
     :ivar version: version of the configuration in force at the peer
     """
 
@@ -87,7 +87,7 @@
         return kind.CODE in self.supported_codes
 
     def send(self, message: PeerMessage) -> None:
-        """Send a message, also in its earlier form if the peer may need that."""
+        """Send a message, also in its earlier form if the peer may require it."""
         self.send_bytes(encode_message(message))
         earlier = make_earlier_form(message)
         if earlier is not None and not self.supports(type(message)):
@@ -130,9 +130,9 @@
         return PeerLink(self._owner)
 
     def clientConnectionLost(self, connector: Any, reason: Failure) -> None:
-        """Notify the owner that the link was closed."""
-        self._owner.end_connecting(self._address)
+        """Notify the owner that the connection was closed."""
+        self._owner.note_connection_ended(self._address)
 
     def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:
         """Notify the owner that the connection attempt failed."""
-        self._owner.end_connecting(self._address)
+        self._owner.note_connection_ended(self._address)
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/peerlistener.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/peerlistener.py
@@ -12,11 +12,11 @@
 
 
 class PeerListener(ABC):
-    """Answers and processes the messages of peers."""
+    """Processes the messages of peers and provides the state that is sent to them."""
 
     @abstractmethod
     def configuration_version(self) -> int:
-        """Return the version of the configuration in force here, 0 if there is none."""
+        """Return the version of this instance's configuration, 0 if there is none."""
 
     @abstractmethod
     def store_reachable(self) -> bool:
@@ -69,7 +69,7 @@
 
     @abstractmethod
     def lend(self, workspace: str, tokens: int, headroom: int) -> int:
-        """Count tokens as spent here, so that a peer may spend them.
+        """Lend tokens, which this instance counts as spent, to a peer.
 
         :param headroom: tokens that the peer requests beyond its need; 0 if it holds
             an allotment
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/peermessages.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/peermessages.py
@@ -30,18 +30,19 @@
 MAX_MESSAGE_BYTES = 16 << 20
 # The fastest level, since configurations are repetitive and compress well.
 COMPRESSION_LEVEL = 1
-# Limit of numbers of tokens and of versions; floats represent integers up to it.
+# Maximum of counts and versions; floats represent integers exactly up to it.
 MAX_NUMBER = 1 << 53
-# Upstreams in the report of one content.
+# Maximum number of crashed upstreams in the report on a content.
 MAX_CRASHED = 64
-# Permits in one request.
+# Maximum number of permits in one request.
 MAX_PERMITS = 1000
 # Number of an unsolicited loan; requests are numbered from 1.
 UNSOLICITED = 0
 
 Count = Annotated[int, Meta(ge=0, le=MAX_NUMBER)]
 Content = Annotated[bytes, Meta(min_length=CONTENT_BYTES, max_length=CONTENT_BYTES)]
-# Incarnations of upstreams; the kept forms of messages contain this name.
+# Incarnations of upstreams. The alias keeps its name, which the recorded forms of
+# messages contain.
 Lives = Annotated[list[str], Meta(max_length=MAX_CRASHED)]
 # Seconds since an event.
 Age = Annotated[float, Meta(ge=0, le=MAX_NUMBER)]
@@ -67,7 +68,7 @@
 class SupportedMessages:
     """Lists the codes of the messages that the sender supports.
 
-    It follows the first message on a link. Some older builds do not send it.
+    It is the second message on a link. Some older builds do not send it.
     """
 
     CODE: ClassVar[int] = 17
@@ -174,7 +175,8 @@
     """Reports contents under which upstreams crashed.
 
     :param crashes: for each the digest, the crashed upstreams with the seconds since
-        the crash, those that the content was cleared of, and the number of trials
+        the crash, those of them that crashed before a run of the content completed, and
+        the number of trials
     """
 
     CODE: ClassVar[int] = 13
@@ -278,7 +280,7 @@
     """Requests permits to send to a limited upstream.
 
     :param asker: the instance that will use the permits
-    :param hops: number of times that the request has been sent
+    :param hops: number of times that the request has been sent, including this one
     :param rate: the upstream's limit as known to the sender, in requests per second
     :param age: seconds since the upstream reported the limit
     """
@@ -295,7 +297,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PermitGrant:
-    """Answers a request for permits.
+    """Responds to a request for permits.
 
     :param seconds: validity of the permits, counted from the request
     :param pause: seconds after which more permits may be requested
@@ -358,9 +360,9 @@
 
 
 def make_earlier_form(message: PeerMessage) -> PeerMessage | None:
-    """Return a message in the form for peers that do not support its kind.
+    """Return the earlier form of a message, for peers that do not support its kind.
 
-    :returns: the earlier form, ``None`` if there is none
+    :returns: ``None`` if there is no earlier form
     """
     if not isinstance(message, UpstreamCrashes):
         return None
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/peers.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/peers.py
@@ -57,7 +57,7 @@
 
 LINK_TIMEOUT_SECONDS = 2.0
 CONNECT_SECONDS = 0.5
-# Latest departures that are sent on a new link.
+# Maximum number of departures that are sent on a new link, the latest ones.
 MAX_ANNOUNCED_DEPARTURES = 256
 
 
@@ -97,7 +97,7 @@
         self._topics_by_message: dict[type[PeerMessage], PeerTopic] = {}
 
     def add_topic(self, topic: PeerTopic) -> None:
-        """Register the handler of a topic's messages; before the first link."""
+        """Register the handler of a topic's messages, before the first link opens."""
         self._topics.append(topic)
         self._topics_by_message.update(dict.fromkeys(topic.MESSAGES, topic))
 
@@ -218,8 +218,8 @@
                 topic.note_disconnected(link)
             log_event("peer-lost", Level.WARNING, peer=link.instance)
 
-    def end_connecting(self, address: Address) -> None:
-        """Record that a link to an address failed or was closed."""
+    def note_connection_ended(self, address: Address) -> None:
+        """Record that a connection to an address failed or was closed."""
         self._connecting.discard(address)
 
     def receive(self, link: PeerLink, message: PeerMessage) -> None:
@@ -236,7 +236,7 @@
         elif isinstance(message, ConfigurationValue):
             self._receive_configuration(link, message)
         elif isinstance(message, LoanRequest | Loan):
-            self._receive_tokens(link, message)
+            self._receive_loan_message(link, message)
         elif topic := self._topics_by_message.get(type(message)):
             topic.receive(link, message)
         else:
@@ -265,7 +265,9 @@
         for report in message.unpack():
             self._listener.receive_crash(report)
 
-    def _receive_tokens(self, link: PeerLink, message: LoanRequest | Loan) -> None:
+    def _receive_loan_message(
+        self, link: PeerLink, message: LoanRequest | Loan
+    ) -> None:
         if isinstance(message, Loan):
             self._receive_loan(link, message)
             return
@@ -332,8 +334,8 @@
 
     async def _send_heartbeats(self) -> None:
         self._drop_unresponsive()
-        # Each link is kept alive separately, since both instances may have opened one
-        # and may use different ones.
+        # Each link is kept alive separately, since two instances may have opened one
+        # link each and may use different ones.
         data = encode_message(Heartbeat(self._listener.configuration_version()))
         for link in self._all_links:
             if not link.has_sent:
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/peertopics.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/peertopics.py
@@ -13,7 +13,7 @@
 
 
 class PeerTopic(ABC):
-    """Handles the messages of one topic; it registers itself with the mesh.
+    """Handles the messages of one topic; it has to be registered with the mesh.
 
     :cvar MESSAGES: kinds of messages that it receives
     """
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/permitlinks.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/permitlinks.py
@@ -34,9 +34,9 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingRequest:
-    """A request that the peer has not answered yet.
+    """A request to which the peer has not responded yet.
 
-    :param response: fires with the grant, ``None`` if the link is closed
+    :param response: fires with the grant, or with ``None`` if the link is closed
     """
 
     link: PeerLink
@@ -83,7 +83,7 @@
         mesh.add_topic(self)
 
     def connect(self, listener: PermitListener) -> None:
-        """Set the listener; before the first link."""
+        """Set the listener, before the first link opens."""
         self._listener = listener
 
     def announce(self, *upstreams: KnownUpstream) -> None:
@@ -93,7 +93,10 @@
     async def ask(
         self, peer: str, requester: str, upstream: KnownUpstream, needed: int, hops: int
     ) -> PermitGrant | None:
-        """Request permits from a peer; return ``None`` if it does not respond."""
+        """Request permits from a peer.
+
+        :returns: ``None`` if there is no link to it or it does not respond in time
+        """
         link = self._mesh.find_link(peer)
         if link is None:
             return None
@@ -120,7 +123,7 @@
             self._pending.pop(number, None)
 
     def make_greeting(self) -> UpstreamLimits:
-        """Return the message with all known limits."""
+        """Return the message with the limits of all limited upstreams."""
         return self._pack(self._listener.list_limited())
 
     def note_supported(self, link: PeerLink) -> None:
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/permits.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/permits.py
@@ -1,4 +1,4 @@
-"""Permits to send to upstreams with a rate limit for all instances together."""
+"""Permits for upstreams whose rate limit applies to all instances together."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 PERMIT_WAIT_SECONDS = 0.05
 # Delay before an instance without a reachable issuer asks again.
 NO_ISSUER_RETRY_SECONDS = 0.25
-# Instances that may forward a request for permits.
+# Maximum number of instances that may forward a request for permits.
 MAX_HOPS = 1
 # Sources of a limit, for the logs.
 FROM_RESPONSE = "answer"
@@ -42,7 +42,7 @@
 class Refill:
     """A pending request for permits.
 
-    :param done: fires once the request is answered
+    :param done: fires once the request is completed
     :param overdue_at: time until which callers' requests wait for it, in seconds
     """
 
@@ -61,14 +61,14 @@
         clock: IReactorTime,
         instance: str,
         directory: UpstreamDirectory,
-        choice: IssuerSelector,
+        selector: IssuerSelector,
         links: PermitLinks,
         metrics: RelayMetrics,
     ) -> None:
         self._clock = clock
         self._instance = instance
         self._directory = directory
-        self._choice = choice
+        self._selector = selector
         self._links = links
         self._metrics = metrics
         self._refills: dict[str, Refill] = {}
@@ -83,7 +83,7 @@
     async def take(self, upstream: KnownUpstream, until: float) -> bool:
         """Take a permit for one request.
 
-        It waits for a pending request for permits for a short time only, since other
+        It waits only briefly for permits that have been requested, since other
         upstreams may serve the request.
 
         :param until: time by which the request has to be sent or refused, in seconds
@@ -103,7 +103,7 @@
             refill = self._refills[upstream.name] = Refill(
                 Deferred(), now + PERMIT_WAIT_SECONDS
             )
-            spawn(self._refill(upstream, refill), "PermitDesk")
+            spawn(self._refill(upstream, refill), "PermitBroker")
         seconds = min(refill.overdue_at, until) - now
         if seconds > 0:
             await wait_at_most(refill.done, seconds, self._clock, None)
@@ -112,7 +112,7 @@
     def plan_retry(self, upstreams: Iterable[KnownUpstream]) -> float | None:
         """Return the seconds after which a refused caller should retry.
 
-        :returns: ``None`` if none of them is limited
+        :returns: ``None`` if none of the upstreams is limited
         """
         caches = [upstream.permits for upstream in upstreams if upstream.is_limited()]
         if not caches:
@@ -150,13 +150,13 @@
             self._receive(upstream, rate, age)
 
     def serve(self, link: PeerLink, request: PermitRequest) -> None:
-        """Answer a peer's request, by issuing permits or asking the issuer."""
+        """Respond to a peer's request, by issuing permits or asking the issuer."""
         upstream = self._directory.find(request.upstream)
         if upstream is None:
             link.send(_grant_nothing(request.number))
             return
         self._receive(upstream, request.rate, request.age)
-        spawn(self._serve(link, request, upstream), "PermitDesk")
+        spawn(self._serve(link, request, upstream), "PermitBroker")
 
     async def _serve(
         self, link: PeerLink, request: PermitRequest, upstream: KnownUpstream
@@ -215,9 +215,12 @@
         return grant
 
     def _choose_source(self, upstream: KnownUpstream) -> str | None:
-        """Return the instance to ask for an upstream's permits; log changes."""
+        """Return the instance to ask for an upstream's permits; log changes.
+
+        :returns: ``None`` if no instance can be asked
+        """
         record, cache = upstream.record, upstream.permits
-        source = self._choice.choose(record.name, record.domain)
+        source = self._selector.choose(record.name, record.domain)
         if source != cache.source:
             log_event("permit-source", upstream=upstream.name, asks=source or "nobody")
             cache.source = source
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/readiness.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/readiness.py
@@ -28,10 +28,10 @@
         self._is_ready = is_ready
 
     def limits(self) -> CallerLimits:
-        """Return the limits for a balancer's requests."""
+        """Return the limits for probes, which have no body."""
         return CallerLimits(body_bytes=0)
 
     def handle(self, head: RequestHead, body: bytes, response: CallerResponse) -> None:
-        """Answer a probe."""
+        """Respond 200 if the path matches and the instance is ready, else 503."""
         ready = head.target == self._path and self._is_ready()
         response.send_complete(OK if ready else UNAVAILABLE, [], b"")
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/stallmonitor.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/stallmonitor.py
@@ -1,8 +1,8 @@
 """Detection of stalls, during which the process was suspended or did not run.
 
-The relay's clock counts the time for which a host was suspended, so everything that is
-due by then, such as timeouts, takes effect at once. Until the store has confirmed the
-known state again, the instance reports to the load balancer that it is not ready.
+The relay's clock includes the time for which the host was suspended, so timeouts that
+expired meanwhile fire at once when it resumes. Until the store has confirmed the known
+state again, the instance reports to the load balancer that it is not ready.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
     from pondquay_daemon.relay.feeds import TableFeed
 
 TICK_SECONDS = 0.25
-# A tick that comes later than this after the previous one counts as a stall.
+# A longer time between two ticks counts as a stall.
 STALL_SECONDS = 1.5
 
 
@@ -53,7 +53,7 @@
         self._last_tick_at = self.clock.seconds()
 
     def _detect_stall(self) -> None:
-        """Record the end of a stall, also if called before the late tick."""
+        """Record and log the end of a stall, also before the delayed tick runs."""
         now = self.clock.seconds()
         if self._last_tick_at is None or now - self._last_tick_at <= STALL_SECONDS:
             return
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/store.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/store.py
@@ -45,7 +45,7 @@
 
 
 class Store(ABC):
-    """A client of the store. Calls return network and store failures as values.
+    """A client of the store. Its calls return network and store failures as values.
 
     Keys of transactions and reads are ``TABLE/KEY``. In a partitioned table each row is
     a partition of its own, which the store writes independently of others.
@@ -61,7 +61,7 @@
 
     @abstractmethod
     async def read_row(self, key: str) -> Row | None | Unreachable:
-        """Read one row, ``None`` if it does not exist."""
+        """Return one row, ``None`` if it does not exist."""
 
     @abstractmethod
     async def follow(
--- a/packages/pondquay-daemon/tests/relay/test_accounts.py
+++ b/packages/pondquay-daemon/tests/relay/test_accounts.py
@@ -108,7 +108,7 @@
     return len(instance.store.commits) - before
 
 
-# With the shortest delay only, there would be 100 writes in 10 s.
+# Without exponential back-off there would be 100 writes in 10 s.
 @pytest.mark.parametrize("failures", [8, 5_000])
 def test_writes_back_off_while_the_table_rejects_them(failures: int) -> None:
     instance = Instance()
--- a/packages/pondquay-daemon/tests/relay/test_feeds.py
+++ b/packages/pondquay-daemon/tests/relay/test_feeds.py
@@ -1,3 +1,5 @@
+"""Following a table through failed calls, a lost history and rereads."""
+
 from __future__ import annotations
 
 from dataclasses import dataclass, field
