--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/accounts.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/accounts.py
@@ -36,7 +36,7 @@
 STARTUP_SECONDS = 1.5
 # Successive waits for tokens from the table before they are borrowed, in seconds.
 TABLE_RETRY_WAITS = (0.02, 0.04, 0.08)
-# Delay after which a caller that is refused while the table is unreachable retries.
+# Retry delay of callers that are refused while the table is unreachable.
 OUTAGE_RETRY_SECONDS = 2.0
 RETURN_UNSPENT_ATTEMPTS = 4
 # Several lenders may write a row at the same time, of which one succeeds per round.
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/allotmentrows.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/allotmentrows.py
@@ -30,7 +30,7 @@
 
 TABLE = "allotments"
 # Minimum of the random delay after a failed call. Consecutive failures double the
-# maximum, up to a limit, so that retries do not overload the table.
+# maximum, up to a limit, so that retries do not add load to an overloaded table.
 RETRY_SECONDS = 0.1
 MAX_DOUBLINGS = 4
 
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/configurationfetch.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/configurationfetch.py
@@ -21,7 +21,7 @@
 # Further delay while the store is reachable, in which it usually delivers a large
 # configuration over a slow link.
 STORE_WAIT_SECONDS = 1.0
-# Time for a peer's response, also with a large configuration over a slow link.
+# Time for a peer's response, enough for a large configuration over a slow link.
 FETCH_SECONDS = 0.7
 
 
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/crashmonitor.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/crashmonitor.py
@@ -263,7 +263,7 @@
 
 
 class ContentPermit:
-    """Checks whether a request may be sent, given the crashes that its content caused.
+    """Checks whether a request may be sent, as upstreams may crash under its content.
 
     :param owner: workspace of the caller, empty if there is none
     """
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/crashrows.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/crashrows.py
@@ -135,8 +135,8 @@
 class _CrashDocument(msgspec.Struct, frozen=True):
     """A content's row, which other builds read and write as well.
 
-    Ages are as of the write and are not updated, since only their differences determine
-    whether a content is blocked.
+    Ages are as of the write and are not updated, since whether a content is blocked
+    depends only on their differences.
 
     :param crashed: crashed incarnations of upstreams; some builds store them with the
         ages
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/loans.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/loans.py
@@ -98,8 +98,8 @@
         """Return whether this instance should hold an allotment of a workspace.
 
         An instance without a link to any lender holds its own allotment, but not during
-        startup: when an entire fleet starts there are no links yet, and the table cannot
-        take writes of every instance for every workspace.
+        startup: when an entire fleet starts, there are no links yet and the table
+        cannot take writes of every instance for every workspace.
         """
         startup_ended = self._clock.seconds() >= self._startup_ends_at
         if not startup_ended and not self._knows_fleet():
