--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/attempts.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/attempts.py
@@ -30,8 +30,8 @@
     )
 
 SUCCESS_STATUSES = range(200, 300)
-# A caller may take these statuses as proof that its request has not run. A response of
-# an upstream proves it only by its header, so these are not forwarded.
+# Statuses that a caller may take as proof that its request did not run. They are not
+# forwarded, since an upstream's response proves this only by a header.
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 
 
@@ -116,7 +116,7 @@
     _last_event_at: float | None = None
 
     def note_events(self, now: float) -> float | None:
-        """Note that events arrived.
+        """Record the arrival of events.
 
         :returns: seconds since the previous ones, ``None`` if these are the first
         """
@@ -207,9 +207,10 @@
         return self._result
 
     def watch_silence(self, seconds: float, may_retry: Callable[[], bool]) -> None:
-        """Abandon the upstream once it has sent nothing for some seconds.
+        """End the attempt if the upstream sends nothing for some seconds.
 
-        :param may_retry: called then; returns whether the request may be sent elsewhere
+        :param may_retry: called after each such period once the request is sent;
+            returns whether it may be sent elsewhere, otherwise the attempt continues
         """
         self._silence_seconds = seconds
         self._may_retry = may_retry
@@ -221,7 +222,7 @@
         self._end(Stopped(sent), cancel=True)
 
     def on_head(self, head: ResponseHead) -> None:
-        """Check whether the response is valid and belongs to the request."""
+        """Report the signals of a response, and check that it is valid."""
         self._note_activity()
         metadata = self._border.read_response(head)
         if metadata.not_run or metadata.attempt == self._attempt:
@@ -240,7 +241,7 @@
         self._streaming = self._progress is not None and head.status in SUCCESS_STATUSES
 
     def on_body(self, data: bytes) -> None:
-        """Forward complete events, or keep a part of a plain response."""
+        """Forward complete events of a stream, or keep a part of a plain response."""
         self._note_activity()
         if not self._streaming:
             self._body.append(data)
@@ -256,7 +257,7 @@
         if events:
             now = self._clock.seconds()
             pause = progress.note_events(now)
-            # A pause that began at another upstream is no measure of this one.
+            # A pause that began at another upstream is not reported for this one.
             if pause is not None and self._first_event_at is not None:
                 self._upstream.on_pause(pause)
             if self._first_event_at is None:
@@ -264,7 +265,7 @@
             self._forward(events, progress)
 
     def on_end(self) -> None:
-        """Finish the attempt with a complete response."""
+        """Finish the attempt when the response has ended."""
         if self._not_run is not None:
             self._end(self._not_run)
             return
@@ -283,7 +284,7 @@
         self._end(Streamed(progress.reader.count))
 
     def on_error(self, error: BrokenExchangeError) -> None:
-        """Finish the attempt without a complete response."""
+        """Finish the attempt after a failure of the exchange."""
         if not error.sent:
             self._end(Unsent(str(error), error.refused))
         elif self._not_run is not None:
@@ -329,16 +330,16 @@
             self._silence_timer.reset(self._silence_seconds)
 
     def _on_silence(self) -> None:
-        # After a stall of the process timers fire before waiting data is read, so the
-        # decision is deferred by one turn of the event loop.
+        # After a stall of the process, timers fire before waiting data is read, so the
+        # decision is deferred by one iteration of the event loop.
         self._checking_silence = True
         self._silence_timer = self._clock.callLater(0, self._handle_silence)
 
     def _handle_silence(self) -> None:
         self._checking_silence = False
         if self._exchange is not None and not self._exchange.sent:
-            # Without a connection nothing can have run, so a retry does not count as a
-            # further attempt.
+            # Nothing has run without a connection, so this does not count as one of the
+            # route's attempts.
             self._end(Unsent("no connection in time"), cancel=True)
             return
         if self._may_retry is not None and self._may_retry():
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/border.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/border.py
@@ -1,4 +1,4 @@
-"""The border: plug-in for the names, formats and interfaces of a platform."""
+"""The border: a plug-in for the names, formats and store of a platform."""
 
 from __future__ import annotations
 
@@ -80,8 +80,8 @@
     def find_evacuated_domain(self, key: str) -> str | None:
         """Return the domain that a row of the configuration's table evacuates.
 
-        :param key: the row's key
-        :returns: ``None`` for rows of another kind
+        :param key: key of the row
+        :returns: ``None`` if the row is not an evacuation
         """
 
     @abstractmethod
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/command.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/command.py
@@ -30,7 +30,7 @@
     """Command-line options of a relay.
 
     :param border: module that registers a border under its own name
-    :param check: only check the settings
+    :param check: check the settings and exit
     :param reports_port: port of metrics and state dumps, ``None`` for none
     :param policy: file that overrides the default policy
     """
@@ -59,7 +59,7 @@
     if options.check:
         print(f"{settings.instance}: ok")
         return 0
-    budget = start_logs(options.log_level)
+    line_budget = start_logs(options.log_level)
     if options.reports_port is not None:
         reports = Address(settings.callers.host, options.reports_port)
         settings = replace(settings, reports=reports)
@@ -69,11 +69,11 @@
     from pondquay_daemon.relay.metrics import RelayMetrics
     from pondquay_daemon.relay.relay import Relay
 
-    anyreactor: Any = reactor
-    use_monotonic_clock(anyreactor)
-    relay = Relay(reactor, border, settings, RelayMetrics(budget.total_suppressed))
-    anyreactor.callWhenRunning(lambda: _begin(anyreactor, relay))
-    anyreactor.run()
+    untyped_reactor: Any = reactor
+    use_monotonic_clock(untyped_reactor)
+    relay = Relay(reactor, border, settings, RelayMetrics(line_budget.total_suppressed))
+    untyped_reactor.callWhenRunning(lambda: _begin(untyped_reactor, relay))
+    untyped_reactor.run()
     return 0
 
 
@@ -87,6 +87,7 @@
             reactor.callFromThread(lambda: spawn(stop(), "Relay"))
 
     def note_reload(*_: object) -> None:
+        # Settings are read only at the start, so changes are not applied.
         reactor.callFromThread(log_event, "settings-changed", Level.INFO)
 
     signal(SIGTERM, begin_stop)
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/components.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/components.py
@@ -27,7 +27,7 @@
 
 @dataclass(slots=True)
 class RelayComponents:
-    """Components that requests share.
+    """Components that all requests of a relay use.
 
     :param list_age: returns the seconds since the list of upstreams was confirmed,
         ``None`` if it never was
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/connectioncheck.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/connectioncheck.py
@@ -46,7 +46,7 @@
         self._timer: IDelayedCall | None = None
 
     def connectionMade(self) -> None:
-        """Start to wait whether the connection stays open."""
+        """Start the timer after which an open connection shows a listening process."""
         self._timer = self._clock.callLater(MIN_OPEN_SECONDS, self._end)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
@@ -61,7 +61,7 @@
 
 
 class ConnectionCheck(ClientFactory):
-    """Opens one connection and closes it.
+    """Checks an address by opening a connection and closing it.
 
     :param on_result: called once with the result
     """
@@ -78,7 +78,7 @@
     def start(
         cls, reactor: Any, address: Address, on_result: Callable[[Listening], None]
     ) -> None:
-        """Begin to check an address."""
+        """Start to check an address."""
         check = cls(reactor, on_result)
         reactor.connectTCP(address.host, address.port, check, timeout=CONNECT_SECONDS)
 
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/egress.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/egress.py
@@ -26,7 +26,8 @@
 CONNECT_SECONDS = 0.5
 # Upper limit of the idle time of a connection, whatever its peer allows.
 MAX_IDLE_SECONDS = 4.0
-# Subtracted from the peer's keep-alive time, so that its close cannot meet a request.
+# Subtracted from the peer's keep-alive time, so that the peer does not close a
+# connection on which a request is being sent.
 IDLE_MARGIN_SECONDS = 0.6
 
 
@@ -55,7 +56,7 @@
 
     :ivar open: whether the connection is established
     :ivar sent: whether any byte of the current exchange was sent
-    :ivar idle_timer: closes the connection once it was idle for too long
+    :ivar idle_timer: closes the connection once it has been idle for too long
     """
 
     def __init__(self, pool: EgressPool, address: Address) -> None:
@@ -128,7 +129,7 @@
             self._fail(f"connection lost: {reason.getErrorMessage()}", sent=self.sent)
 
     def drop(self) -> None:
-        """Close the connection immediately, without a notice to its exchange."""
+        """Close the connection immediately, without notifying the listener."""
         self._listener = None
         if self.open:
             self.open = False
@@ -188,7 +189,7 @@
 
 
 class _ConnectionFactory(ClientFactory):
-    """Makes one attempt to connect."""
+    """Opens one connection for an exchange."""
 
     noisy = False
 
@@ -202,7 +203,7 @@
         return _NewConnection(self._pool, self._address, self._exchange)
 
     def clientConnectionFailed(self, connector: object, reason: Failure) -> None:
-        """Fail the exchange, of which nothing was sent."""
+        """Fail the exchange; nothing of it was sent."""
         refused = reason.check(ConnectionRefusedError) is not None
         self._exchange.fail_connect(reason.getErrorMessage(), refused=refused)
 
@@ -258,14 +259,14 @@
             self._listener.on_error(error)
 
     def cancel(self) -> None:
-        """Close the exchange's connection, without a notice to its listener."""
+        """Close the exchange's connection, without notifying the listener."""
         self._cancelled = True
         if self._connection is not None:
             self._connection.drop()
 
 
 class EgressPool:
-    """Keeps idle connections by address, for reuse.
+    """Opens connections, and keeps idle ones by address for reuse.
 
     :ivar opened: number of connections that were opened
     """
@@ -298,9 +299,9 @@
         )
 
     def keep_idle(self, connection: EgressConnection, seconds: int | None) -> None:
-        """Keep an idle connection for reuse.
+        """Keep an idle connection for reuse, or close it if its peer soon will.
 
-        :param seconds: how long its peer keeps it, ``None`` if unknown
+        :param seconds: idle time that its peer allows, ``None`` if unknown
         """
         limit = MAX_IDLE_SECONDS
         if seconds is not None:
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/errors.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/errors.py
@@ -16,7 +16,7 @@
 class BrokenExchangeError(RelayError):
     """An HTTP exchange ended without a complete response.
 
-    :param sent: whether any byte of the request was handed to the network
+    :param sent: whether any byte of the request was sent
     :param refused: whether the host refused the connection
     """
 
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/heads.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/heads.py
@@ -1,4 +1,4 @@
-"""Headers of HTTP messages, and which of them concern a single connection."""
+"""Headers of HTTP messages, some of which apply to a single connection only."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 if TYPE_CHECKING:
     from pondquay_daemon.relay.messages import HeaderList
 
-# Hop-by-hop headers of RFC 9110, section 7.6.1, and framing headers, which each
-# connection writes itself.
+# Hop-by-hop headers (RFC 9110, section 7.6.1), and headers on the transfer of the body,
+# which each connection handles itself.
 CONNECTION_HEADERS = frozenset(
     {
         b"connection",
@@ -25,12 +25,12 @@
     }
 )
 
-# Digits of a keep-alive time-out that are parsed; the rest is cut off.
+# Digits of a keep-alive time-out that are parsed; further ones are ignored.
 MAX_DIGITS = 9
 
 
 def drop_connection_headers(headers: HeaderList) -> HeaderList:
-    """Return the headers without those that concern a single connection."""
+    """Return the headers without those that apply to a single connection."""
     dropped = set(CONNECTION_HEADERS)
     for name, value in headers:
         if name.lower() == b"connection":
@@ -60,9 +60,9 @@
 
 
 def keep_alive_seconds(headers: HeaderList) -> int | None:
-    """Return the seconds for which a message lets its connection be idle.
+    """Return the idle time-out of a connection from its ``Keep-Alive`` header.
 
-    :returns: ``None`` if the message has no such header
+    :returns: seconds, ``None`` if the message has no valid time-out
     """
     value = find_header(headers, b"keep-alive")
     if value is None:
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/ingress.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/ingress.py
@@ -25,6 +25,7 @@
 REQUEST_TIMEOUT = 408
 BODY_TOO_LARGE = 413
 HEAD_TOO_LARGE = 431
+# Bytes that a caller may send while it waits for a response.
 MAX_READ_AHEAD_BYTES = 1 << 20
 
 
@@ -43,11 +44,11 @@
 class CallerResponse:
     """The response to one request.
 
-    :param arrived_at: when the first byte of the request was read, in seconds
-    :ivar open: whether the caller is connected and the response incomplete
+    :param arrived_at: time at which the first byte of the request was read, in seconds
+    :ivar open: whether the caller is connected and the response is incomplete
     :ivar started: whether the head was sent
-    :ivar began_at: when the first byte of the response was written, in seconds
-    :ivar on_disconnect: called once if the caller disconnects
+    :ivar began_at: time at which the head was written, in seconds, ``None`` before
+    :ivar on_disconnect: called once if the caller disconnects before the response ends
     """
 
     def __init__(self, connection: IngressConnection, arrived_at: float) -> None:
@@ -117,8 +118,8 @@
         self._timer: IDelayedCall | None = None
         self._head: RequestHead | None = None
         self._body: list[bytes] = []
-        self._size = 0
-        self._arrived: float | None = None
+        self._body_size = 0
+        self._arrived_at: float | None = None
         self._response: CallerResponse | None = None
         self._no_body = False
         self._refused = False
@@ -126,7 +127,7 @@
     @property
     def idle(self) -> bool:
         """Whether no request is being read or served."""
-        return self._arrived is None and self._response is None
+        return self._arrived_at is None and self._response is None
 
     def connectionMade(self) -> None:
         """Start to wait for the first request."""
@@ -135,11 +136,11 @@
         self._start_timer(self._handler.limits().idle_timeout, self._on_idle_timeout)
 
     def dataReceived(self, data: bytes) -> None:
-        """Process bytes of requests; those after a refused request are ignored."""
+        """Process bytes of requests; ignore those after a refused request."""
         if self._refused:
             return
-        if self._arrived is None and self._response is None:
-            self._arrived = self._clock.seconds()
+        if self._arrived_at is None and self._response is None:
+            self._arrived_at = self._clock.seconds()
             self._start_timer(
                 self._handler.limits().header_timeout, self._on_read_timeout
             )
@@ -169,6 +170,7 @@
     def write_head(self, status: int, headers: HeaderList, first: bytes) -> float:
         """Write the head of a response.
 
+        :param first: first bytes of the body
         :returns: the time of writing, in seconds
         """
         if self._server.stopping:
@@ -187,7 +189,7 @@
             cast("Server", self.transport).write(out or b"")
 
     def finish_response(self) -> None:
-        """Write the end of a response and continue with the next request."""
+        """Write the end of a response, then read the next request or close."""
         out = self._http.send(h11.EndOfMessage())
         self._response = None
         if out:
@@ -198,10 +200,10 @@
             self.close()
             return
         self._http.start_next_cycle()
-        self._arrived = None
+        self._arrived_at = None
         self._start_timer(self._handler.limits().idle_timeout, self._on_idle_timeout)
         if self._http.trailing_data[0]:
-            self._arrived = self._clock.seconds()
+            self._arrived_at = self._clock.seconds()
             self._clock.callLater(0, self._read_events)
 
     def _read_events(self) -> None:
@@ -228,14 +230,14 @@
             self._head = RequestHead(event.method, event.target, headers)
             self._no_body = event.method == b"HEAD"
             self._body = []
-            self._size = 0
+            self._body_size = 0
             # A body may take longer than a head, up to the idle time-out.
             self._start_timer(
                 self._handler.limits().idle_timeout, self._on_read_timeout
             )
         elif isinstance(event, h11.Data):
-            self._size += len(event.data)
-            if self._size > self._handler.limits().body_bytes:
+            self._body_size += len(event.data)
+            if self._body_size > self._handler.limits().body_bytes:
                 self._refuse(BODY_TOO_LARGE)
                 return
             self._body.append(bytes(event.data))
@@ -245,11 +247,11 @@
     def _begin_response(self) -> None:
         self._stop_timer()
         head, self._head = self._head, None
-        if head is None or self._arrived is None:
+        if head is None or self._arrived_at is None:
             return
         body = b"".join(self._body)
         self._body = []
-        self._response = CallerResponse(self, self._arrived)
+        self._response = CallerResponse(self, self._arrived_at)
         self._handler.handle(head, body, self._response)
 
     def _send_continue(self) -> None:
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/messages.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/messages.py
@@ -15,7 +15,7 @@
 class RequestHead:
     """The head of a caller's request as received.
 
-    :param headers: with names as written, in order
+    :param headers: in the order received, with names in their original case
     """
 
     method: bytes
@@ -42,7 +42,7 @@
     :param attempt: the caller's identifier of this attempt
     :param key: the caller's key, ``None`` if it sent none
     :param deadline: seconds that the caller will wait, ``None`` if unknown
-    :param prefix: shared parts at the start of the prompt
+    :param prefix: parts of the prompt in order, of which the first may be shared
     :param last_event: number of the last event that the caller has received
     """
 
@@ -68,6 +68,7 @@
     :param upstream: name of the upstream that the request is for
     :param remaining: seconds until the caller's deadline
     :param workspace: owner of the caller's key, ``None`` where no key is needed
+    :param urgency: 0 is the most urgent
     :param resume_after: number of the last event that the caller has received, if a
         stream is resumed
     :param copy_from: address of an upstream that has more of the prompt in its cache
@@ -99,8 +100,8 @@
     :param backoff: seconds for which it accepts no request from this instance
     :param limit: requests per second that it accepts from all instances together,
         ``None`` if the response has no valid limit
-    :param tells_limit: whether the response shows if there is a limit; a response with
-        a malformed limit does not
+    :param tells_limit: whether ``limit`` is known; ``False`` if the response has a
+        malformed limit
     """
 
     leaving: bool = False
@@ -120,7 +121,7 @@
     :param attempt: identifier of the attempt that it responds to, empty if unknown
     :param signed: whether it has an upstream's signature
     :param not_run: whether the request certainly did not run
-    :param misdirected: whether another upstream has the address
+    :param misdirected: whether another upstream now has the address
     :param signals: what the upstream reports about itself
     """
 
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/metrics.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/metrics.py
@@ -18,11 +18,11 @@
 class RelayMetrics:
     """The metrics of one relay. All label values come from small fixed sets.
 
-    :param left_out: numbers of log lines that were not written, by event
+    :param suppressed: numbers of log lines that were not written, by event
     """
 
-    def __init__(self, left_out: Counts[str]) -> None:
-        self._left_out = left_out
+    def __init__(self, suppressed: Counts[str]) -> None:
+        self._suppressed = suppressed
         self.registry = CollectorRegistry()
         self.requests = self._counter("requests", "Requests by their end", "status")
         self.refusals = self._counter(
@@ -37,7 +37,7 @@
         self.retries = self._counter("retries", "Wishes for a further send", "granted")
         self.tokens = self._counter("tokens", "Tokens reserved and used", "kind")
         self.loans = self._counter("loan_tokens", "Tokens lent and borrowed", "way")
-        self.lines = Gauge(
+        self.suppressed_lines = Gauge(
             "pondquay_log_lines_left_out",
             "Log lines that were not written since the start",
             ["event"],
@@ -61,8 +61,9 @@
         self.limited = self._gauge(
             "upstreams_limited", "Upstreams that name a limit for all instances"
         )
+        # Emptied domains are evacuated ones.
         self.evacuated = self._gauge("emptied_domains", "Domains that get no new work")
-        self.emptied_version = self._gauge(
+        self.evacuations_version = self._gauge(
             "emptied_domains_version",
             "Table version of the newest word on emptied domains; all alike: all heard",
         )
@@ -93,8 +94,8 @@
 
     def render(self) -> bytes:
         """Return all metrics as text."""
-        for event, count in self._left_out.items():
-            self.lines.labels(event).set(count)
+        for event, count in self._suppressed.items():
+            self.suppressed_lines.labels(event).set(count)
         return generate_latest(self.registry)
 
     def _counter(self, name: str, text: str, label: str) -> Counter:
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/observers.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/observers.py
@@ -1,4 +1,4 @@
-"""Passes what an attempt learns of its upstream to the relay's components."""
+"""Records what an attempt observes of its upstream in the relay's components."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     from pondquay_daemon.relay.prefills import Prefill
 
 
-# Source of an update, as logged.
+# Source of a departure, for the logs.
 FROM_RESPONSE = "answer"
 
 
@@ -47,7 +47,7 @@
         self._prefill.note_response()
 
     def on_response(self) -> None:
-        """Note that the upstream responds, so the prompt has been prefilled."""
+        """Note that the upstream has prefilled the prompt, since it responds."""
         self._prefill.note_prefilled()
 
     def on_pause(self, seconds: float) -> None:
@@ -81,14 +81,14 @@
             self._note_leaving(self._latest_delivery(now))
 
     def _latest_delivery(self, now: float) -> float:
-        """Return the latest time at which the request arrived, in seconds."""
+        """Return the time by which the request had reached the upstream, in seconds."""
         return min(now, self._sent_at + CONNECT_SECONDS)
 
     def _note_leaving(self, delivered_at: float) -> None:
         """Note that the upstream is leaving, and announce it to peers.
 
-        While the table is unreachable its row cannot show this. Without an announcement
-        each instance would learn it by losing a request there.
+        While the table is unreachable, the upstream's row cannot show this. Without the
+        announcement, each peer would notice it only in a response to its own request.
         """
         record = self._upstream.record
         directory = self._components.directory
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/placement.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/placement.py
@@ -89,7 +89,7 @@
         return chosen
 
     def note_connect_failure(self, upstream: KnownUpstream, *, refused: bool) -> None:
-        """Note that no connection to an upstream could be established.
+        """Record that no connection to an upstream could be established.
 
         :param refused: whether its host refused; if so, the upstream has stopped and
             its domain is reachable
@@ -146,8 +146,10 @@
         if prefix:
             spare = self._policy.spare_streams
             return choose_by_prompt(candidates, prefix, now, spare_streams=spare)
-        crowded = max(1, int(self._policy.crowded_part * candidates[0].record.slots))
-        return choose_nearest(candidates, self._domain, crowded)
+        max_running = max(
+            1, int(self._policy.crowded_part * candidates[0].record.slots)
+        )
+        return choose_nearest(candidates, self._domain, max_running)
 
     def find_copy_source(
         self, target: KnownUpstream, prefix: tuple[PromptPart, ...]
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/policyfile.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/policyfile.py
@@ -1,4 +1,4 @@
-"""File that switches mechanisms of a relay on and off, for experiments.
+"""File that overrides the default policy of a relay, for experiments.
 
 It is an INI file with a section ``[policy]``; its keys are the fields of
 :class:`~pondquay.policy.RelayPolicy`.
@@ -63,9 +63,9 @@
 
 
 def _read_value(text: str, default: bool | float) -> bool | float:
-    """Parse a value of the same type as the default one.
+    """Parse a switch or a number, by the type of its default.
 
-    :raises ValueError: if it is of another type
+    :raises ValueError: if it is of another type or negative
     """
     if isinstance(default, bool):
         if text not in SWITCHES:
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/prefills.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/prefills.py
@@ -15,10 +15,10 @@
 
 
 class Prefill:
-    """Counts a request at an upstream, and its prompt until that is prefilled.
+    """Counts a request at an upstream, and its uncached tokens until their prefill.
 
-    :param prefix: the parts of its prompt
-    :param source: the upstream from which shared parts are copied first, if any
+    :param prefix: parts of its prompt
+    :param source: the upstream from which cached parts are copied first, if any
     """
 
     def __init__(
@@ -53,12 +53,12 @@
         self._stop_waiting()
 
     def note_response(self) -> None:
-        """Note that the upstream sent something, be it a rejection."""
+        """Record that the upstream sent data, even if only a rejection."""
         self._upstream.last_seen_at = self._components.clock.seconds()
         self._components.directory.reach.note_response(self._upstream.record.domain)
 
     def note_prefilled(self) -> None:
-        """Note that the prompt has been prefilled, so its shared parts are cached.
+        """Record that the prompt has been prefilled, so its shared parts are cached.
 
         Must not be called for a rejected request, which would attract prompts with the
         same parts to an upstream that has not cached them.
@@ -70,7 +70,7 @@
         self._stop_waiting()
 
     def _stop_waiting(self) -> None:
-        """Stop counting the prompt as waiting for its prefill."""
+        """Stop counting the prompt's tokens as waiting for the prefill."""
         if not self._uncached:
             return
         self._upstream.prompts.own -= self._uncached
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/relay.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/relay.py
@@ -57,22 +57,24 @@
     from pondquay_daemon.relay.metrics import RelayMetrics
     from pondquay_daemon.relay.settings import RelaySettings
 
-# A configuration counts as fresh for this fraction of the time in which a new one must
-# take effect. Only a fresh one proves that a route or key does not exist.
+# A configuration is fresh if it was confirmed within this fraction of the time in which
+# a new one must take effect. Only a fresh one proves that a route or key does not
+# exist.
 FRESH_CONFIGURATION_FRACTION = 0.8
 # Time for which the balancer may still open connections after the stop begins.
 BALANCER_DRAIN_SECONDS = 2.6
 # Reserved at the end of a graceful stop, to return unspent tokens.
 RETURN_UNSPENT_SECONDS = 0.5
 STOP_STEP_SECONDS = 0.05
-# Between two polls. In a large fleet most instances hold no allotments, so they poll
-# less often to limit the load on the store; a conflicting write returns the newer row.
+# Pauses between polls of the allotments. Most instances of a large fleet hold none, so
+# all poll less often there to limit the load on the store. Holders see newer rows also
+# when their writes conflict.
 ALLOTMENTS_POLL_SECONDS = 0.3
 LARGE_FLEET_ALLOTMENTS_POLL_SECONDS = 3.0
-# Fraction of the departure bound between two polls of the upstreams. Each heartbeat
-# changes a row and ends a poll, so a long bound is used for one poll that covers all
-# heartbeats; see choose_upstreams_pause.
+# Minimum pause between polls of the upstreams, as a fraction of the departure bound.
+# Each heartbeat changes a row and ends a poll, so longer pauses need fewer polls.
 UPSTREAMS_POLL_FRACTION = 0.125
+# Time for a slow or repeated poll.
 SLOW_POLL_SECONDS = 1.0
 MEMBERS_POLL_SECONDS = 2.0
 # Delay after which a caller that a stopping instance refuses should retry elsewhere.
@@ -94,8 +96,8 @@
         self._settings = settings
         self._metrics = metrics
         self._pool = EgressPool(reactor)
-        # A partition takes only a few hundred writes per second, and a whole fleet may
-        # start at once, so each budget has its own partition.
+        # A partition takes only a few hundred writes per second, and all instances may
+        # start at the same time, so each allotment row has its own partition.
         self._store = border.open_store(settings, reactor, frozenset({ALLOTMENTS}))
         directory = UpstreamDirectory(
             reactor.seconds, lambda: self._upstream_feed.confirmed
@@ -310,7 +312,7 @@
         metrics.limited.set(self._components.directory.count_limited())
         evacuations = self._components.directory.evacuations
         metrics.evacuated.set(len(evacuations.evacuated))
-        metrics.emptied_version.set(evacuations.version)
+        metrics.evacuations_version.set(evacuations.version)
         metrics.unspent.set(self._accounts.unspent())
         metrics.malformed.set(len(self._upstreams.malformed))
         metrics.blocked.set(len(self._components.crashes.history.blocked()))
@@ -344,7 +346,7 @@
         """Begin to serve a request."""
         table = self._configuration.table
         if self._refusing:
-            # The request might not end before this process.
+            # The request might not end before the process does.
             send_refusal(
                 self._border,
                 response,
@@ -404,8 +406,8 @@
 def choose_upstreams_pause(departure: float) -> float:
     """Return the seconds between two polls of the list of upstreams.
 
-    A long departure bound leaves time for a slow or repeated poll and for the grace
-    period of missing rows.
+    If the departure bound is long enough, the pause leaves time for a slow or repeated
+    poll and for the grace period of missing rows.
 
     :param departure: seconds after which a leaving upstream must get no new work
     """
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/requests.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/requests.py
@@ -141,9 +141,10 @@
         self._stop("timeout")
 
     def _on_disconnect(self) -> None:
+        # A plain request that may not be repeated is completed once it is being sent.
         streaming, repeatable = self._route.streaming, self._route.repeatable
         if not self._sender.running or streaming or repeatable:
-            self._stop("caller gone")
+            self._stop("caller disconnected")
 
     def _stop(self, reason: str) -> None:
         self._stop_reason = self._stop_reason or reason
@@ -181,7 +182,7 @@
         """
         sends = 0
         # Only sends after which the request may have run count against the route's
-        # attempts. Every send counts against the retry share.
+        # attempts. Each send but the first uses a retry.
         runs = 0
         connect_failures = 0
         self._retry_permit.note_first()
@@ -218,9 +219,9 @@
             return self._make_refusal(refusal.reason, refusal.retry_after)
         upstream = await self._sender.choose_upstream()
         if upstream is None:
-            none = self._sender.explain_no_upstream()
+            no_upstream = self._sender.explain_no_upstream()
             return self._make_refusal(
-                none.reason, none.retry_after or RETRY_SOON_SECONDS
+                no_upstream.reason, no_upstream.retry_after or RETRY_SOON_SECONDS
             )
         if sends and not self._retry_permit.take():
             return self._make_refusal("no retries left")
@@ -246,7 +247,7 @@
         now = self._components.clock.seconds()
         self._components.metrics.attempts.labels(type(outcome).__name__.lower()).inc()
         if isinstance(outcome, Stopped):
-            # Without an earlier reason, too little time was left to send it.
+            # Without an earlier reason, too little time was left for the attempt.
             self._stop_reason = self._stop_reason or "timeout"
         elif isinstance(outcome, NotRun) and outcome.misdirected:
             record = upstream.record
@@ -281,9 +282,9 @@
     def _note_possible_crash(
         self, upstream: KnownUpstream, lost: Lost, now: float
     ) -> None:
-        """Note that this request may have crashed the upstream.
+        """Report that this request may have crashed the upstream.
 
-        A silent upstream that responds to other requests is busy and has not crashed.
+        A silent upstream that responds to other requests is considered busy.
         """
         if not self._components.policy.refuse_crashing:
             return
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/reservations.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/reservations.py
@@ -14,7 +14,7 @@
 
 PAYMENT_REQUIRED = 402
 TOO_MANY_REQUESTS = 429
-# Fraction of a route's objective for which a request waits for tokens.
+# Maximum time that a request waits for tokens, as a fraction of its route's objective.
 TOKEN_WAIT_FRACTION = 0.2
 
 
@@ -22,7 +22,7 @@
     """The reserved tokens of one request.
 
     :param workspace: ``None`` for requests without a budget
-    :ivar used: tokens used, as settled
+    :ivar used: tokens used by the last settlement, at most those reserved
     """
 
     def __init__(
@@ -42,7 +42,10 @@
         self.used = 0
 
     async def reserve(self, tokens: int) -> Refusal | None:
-        """Reserve tokens for a run, or return a refusal."""
+        """Reserve tokens for a run, if the request has a budget.
+
+        :returns: a refusal if no tokens could be reserved
+        """
         workspace = self._workspace
         if workspace is None or workspace.prepaid is None:
             return None
@@ -68,7 +71,7 @@
             self._accounts.settle(self._workspace.name, reserved, used)
 
     def settle_all(self) -> None:
-        """Charge all tokens still reserved, since their use is unknown."""
+        """Charge all tokens that are still reserved, since their use is unknown."""
         self.settle(self._reserved)
 
     def settle_stream(self, events: int) -> None:
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/retrying.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/retrying.py
@@ -13,7 +13,7 @@
 
 
 class RetryPermit:
-    """Takes retries for one request; a retry may be reserved in advance.
+    """Obtains retries for one request; one may be reserved in advance.
 
     :param request: the caller's identifier of its attempt, for the logs
     """
@@ -31,7 +31,7 @@
         )
 
     def take(self) -> bool:
-        """Use the reserved retry, or take one; return whether that is allowed."""
+        """Use the reserved retry or a new one; return whether a retry is allowed."""
         if self._reserved:
             self._reserved = False
             return True
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/sending.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/sending.py
@@ -24,12 +24,13 @@
     from pondquay_daemon.relay.messages import RequestHead
     from pondquay_daemon.relay.placement import NoUpstream
 
-# An upstream that sends nothing for this multiple of the objective is abandoned if the
+# Multiple of a route's objective after which a silent upstream is abandoned if the
 # request is repeatable.
 SILENCE_TIMEOUT_OBJECTIVES = 2.0
 MIN_SILENCE_SECONDS = 0.3
-# The same for an upstream that responds to other requests meanwhile.
+# The same for an upstream that meanwhile responds to other requests.
 BUSY_TIMEOUT_OBJECTIVES = 3.0
+# A request is not sent if less time is left until its deadline.
 MIN_REMAINING_SECONDS = 0.01
 # Number of route priorities. The priority of a workspace outranks that of a route.
 ROUTE_PRIORITIES = 3
@@ -58,8 +59,8 @@
     :param progress: progress of its stream, ``None`` if it has none
     :param may_retry: reserves a retry, so that a silent upstream may be abandoned;
         returns whether it did
-    :ivar tried: names of the upstreams that it was sent to
-    :ivar sent_to: the same names in order
+    :ivar tried: names of the upstreams that were tried
+    :ivar sent_to: the same names, in the order of the attempts
     :ivar unreachable_domains: domains in which it could not connect
     """
 
@@ -115,6 +116,8 @@
         components, service = self._components, self._job.admission.service
         age = components.list_age()
         missing_since = chosen.missing_since
+        # reading: prompt tokens of this instance that wait for prefill; waiting: those
+        # of all instances; gone: seconds since the row is missing, -1 if it is listed.
         log_event(
             "upstream-chosen",
             request=self._metadata.attempt,
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/settings.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/settings.py
@@ -16,12 +16,13 @@
 class RelayBounds:
     """Limits that the platform's operators have agreed on.
 
-    :param configuration: seconds within which a configuration takes effect everywhere
+    :param configuration: seconds within which a new configuration takes effect at all
+        instances
     :param stop: maximum duration of a graceful stop, in seconds
     :param departure: seconds after which a leaving upstream gets no new work
     :param retry_ratio: retries that the fleet may make for each request
-    :param retry_extra: retries that the fleet may make in a window in any case
-    :param retry_window: length of the window in seconds
+    :param retry_extra: retries that the fleet may make in each window in addition
+    :param retry_window: length of the sliding window, in seconds
     """
 
     configuration: float = 2.0
@@ -43,6 +44,7 @@
     :param store: address of the store
     :param peers: address for links of other instances
     :param seeds: ``peers`` addresses of some other instances
+    :param bounds: limits agreed on by the operators
     :param reports: address of metrics and state dumps, ``None`` to serve none
     :param policy: switches and parameters of the relay's mechanisms
     """
