--- a/packages/pondquay-standins/src/pondquay_standins/soak/proxies.py
+++ b/packages/pondquay-standins/src/pondquay_standins/soak/proxies.py
@@ -30,6 +30,7 @@
 class ProxyFault(StrEnum):
     """A fault of a listening port's connections.
 
+    ``DELAY`` forwards bytes late, and ``RESET`` resets connections.
     ``NO_REQUESTS`` and ``NO_RESPONSES`` drop bytes in one direction. ``SILENT`` drops
     them in both directions and doesn't forward the closing of connections.
     """
@@ -45,8 +46,9 @@
 class PortMapping:
     """A listening port, its target port and its open connections.
 
-    :ivar fault: the fault of its connections now
-    :ivar ends: both ends of all its connections
+    :param target: the target port
+    :ivar fault: current fault of its connections
+    :ivar ends: both ends of all open connections
     """
 
     def __init__(self, target: int) -> None:
@@ -57,15 +59,16 @@
     def set_fault(self, fault: ProxyFault) -> None:
         """Set or clear the fault.
 
-        Connections from which bytes were dropped are reset, since they cannot go on.
+        ``RESET`` resets all open connections. So does setting any fault after one that
+        drops bytes, since connections that have lost bytes are unusable.
         """
-        dropped = self.fault in (
+        was_dropping = self.fault in (
             ProxyFault.NO_REQUESTS,
             ProxyFault.NO_RESPONSES,
             ProxyFault.SILENT,
         )
         self.fault = fault
-        if fault is ProxyFault.RESET or dropped:
+        if fault is ProxyFault.RESET or was_dropping:
             for end in list(self.ends):
                 end.abort()
 
@@ -73,7 +76,7 @@
 class ProxyEnd(Protocol):
     """One end of a proxied connection.
 
-    :param dropping_faults: the faults in which bytes received here are dropped
+    :param dropping_faults: faults during which bytes received by this end are dropped
     """
 
     def __init__(
@@ -82,9 +85,9 @@
         self.mapping = mapping
         self._dropping_faults = dropping_faults
         self.other: ProxyEnd | None = None
-        # Received before the other end is connected.
+        # Bytes received before the other end is connected.
         self._pending: list[bytes] = []
-        # Received during a delay and not forwarded yet, in order.
+        # Delayed bytes that are not forwarded yet, in order.
         self._delayed: deque[bytes] = deque()
 
     def connectionMade(self) -> None:
@@ -97,14 +100,14 @@
         if fault in self._dropping_faults:
             return
         if fault is ProxyFault.DELAY or self._delayed:
-            # Keeps bytes in order when the fault ends before delayed bytes are sent.
+            # Bytes received after the fault ends must not overtake delayed ones.
             self._delayed.append(data)
             reactor.callLater(DELAY_SECONDS, self._forward_delayed)
             return
         self._forward(data)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """Close the other end too, unless the fault hides it."""
+        """Close the other end too, unless the fault is ``SILENT``."""
         self.mapping.ends.discard(self)
         if self.other is not None and self.mapping.fault is not ProxyFault.SILENT:
             self.other.close()
@@ -118,7 +121,7 @@
         cast("Any", self.transport).abortConnection()
 
     def join(self, other: ProxyEnd) -> None:
-        """Forward to another end, including the bytes received so far."""
+        """Forward to another end all bytes, including those received before."""
         self.other = other
         pending, self._pending = self._pending, []
         for data in pending:
@@ -147,42 +150,47 @@
         self._mapping = mapping
 
     def buildProtocol(self, addr: IAddress | None) -> ProxyEnd:
-        """Return the client's end of a new connection."""
-        near = ProxyEnd(self._mapping, REQUEST_DROPPING_FAULTS)
+        """Return the client's end of a new connection and connect to the target.
+
+        During ``RESET`` the connection is reset instead.
+        """
+        client_end = ProxyEnd(self._mapping, REQUEST_DROPPING_FAULTS)
         if self._mapping.fault is ProxyFault.RESET:
-            reactor.callLater(0, near.abort)
-            return near
-        reactor.connectTCP(HOST, self._mapping.target, TargetFactory(near), timeout=2)
-        return near
+            reactor.callLater(0, client_end.abort)
+            return client_end
+        reactor.connectTCP(
+            HOST, self._mapping.target, TargetFactory(client_end), timeout=2
+        )
+        return client_end
 
 
 class TargetFactory(ClientFactory):
     """Opens the target's end of a connection.
 
-    :param near: the client's end
+    :param client_end: the client's end
     """
 
     noisy = False
 
-    def __init__(self, near: ProxyEnd) -> None:
-        self._near = near
+    def __init__(self, client_end: ProxyEnd) -> None:
+        self._client_end = client_end
 
     def buildProtocol(self, addr: IAddress | None) -> ProxyEnd:
         """Return the target's end, joined with the client's end."""
-        far = ProxyEnd(self._near.mapping, RESPONSE_DROPPING_FAULTS)
-        far.join(self._near)
-        reactor.callLater(0, self._near.join, far)
-        return far
+        target_end = ProxyEnd(self._client_end.mapping, RESPONSE_DROPPING_FAULTS)
+        target_end.join(self._client_end)
+        reactor.callLater(0, self._client_end.join, target_end)
+        return target_end
 
     def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:
-        """Close the client's end, since the target doesn't accept connections."""
-        self._near.close()
+        """Close the client's end, since the connection to the target failed."""
+        self._client_end.close()
 
 
 def make_control(mappings: dict[int, PortMapping]) -> Any:
     """Return the web application of the control port.
 
-    :param mappings: by listening port
+    :param mappings: port mappings by listening port
     """
     app: Any = Klein()
 
