--- a/packages/pondquay-standins/src/pondquay_standins/soak/callers.py
+++ b/packages/pondquay-standins/src/pondquay_standins/soak/callers.py
@@ -36,8 +36,8 @@
     :param route: name of the route
     :param events: number of requested stream events, 0 for a plain request
     :param status: status of the response, ``NO_RESPONSE`` if there was none
-    :param signature: the replica's signature in the response, empty without one
-    :param complete: whether the whole response was received
+    :param signature: the replica's signature in the response, empty if there is none
+    :param complete: whether the entire response was received
     :param began: when the request was sent, in seconds of the monotonic clock
     :param ended: when the response ended or failed, on the same clock
     """
--- a/packages/pondquay-standins/src/pondquay_standins/soak/proxies.py
+++ b/packages/pondquay-standins/src/pondquay_standins/soak/proxies.py
@@ -30,9 +30,9 @@
 class ProxyFault(StrEnum):
     """A fault of a listening port's connections.
 
-    ``DELAY`` forwards bytes late, and ``RESET`` resets connections.
-    ``NO_REQUESTS`` and ``NO_RESPONSES`` drop bytes in one direction. ``SILENT`` drops
-    them in both directions and doesn't forward the closing of connections.
+    ``DELAY`` forwards bytes late, and ``RESET`` resets connections. ``NO_REQUESTS`` and
+    ``NO_RESPONSES`` drop bytes in one direction. ``SILENT`` drops them in both
+    directions and does not forward the closing of connections.
     """
 
     NONE = "none"
