--- a/packages/pondquay-daemon/src/pondquay_daemon/__main__.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/__main__.py
@@ -137,12 +137,12 @@
             application.components.stopping = True
             untyped_reactor.callFromThread(lambda: spawn(stop(), "Application"))
 
-    def install_signals() -> Deferred[None]:
+    def install_signals_and_start() -> Deferred[None]:
         signal(SIGTERM, begin_stop)
         signal(SIGINT, begin_stop)
         return spawn(start(), "Application")
 
-    untyped_reactor.callWhenRunning(install_signals)
+    untyped_reactor.callWhenRunning(install_signals_and_start)
     untyped_reactor.run()
     return status[0]
 
--- a/packages/pondquay-daemon/src/pondquay_daemon/application.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/application.py
@@ -1,4 +1,4 @@
-"""One entry instance: its tasks, their wiring, and its planned stop."""
+"""One entry instance: its tasks, their dependencies, and its planned stop."""
 
 from __future__ import annotations
 
@@ -38,8 +38,8 @@
 
 BOOT_BYTES = 6
 STOP_CHECK_INTERVAL_SECONDS = 0.05
-RETURN_UNSPENT_SECONDS = 30.0
-ENTRY = "entry"
+RETURN_TIMEOUT_SECONDS = 30.0
+ENTRY_ROLE = "entry"
 
 
 class Application(PeerListener):
@@ -155,11 +155,11 @@
         return [budget.name for budget in self.configuration.document.list(Budget)]
 
     async def _update_peer_links(self) -> None:
-        """Keep links to the entry instances that the platform lists."""
+        """Keep links to the other entry instances that the platform lists."""
         addresses = {
             Address.parse(listed.peer)
             for listed in self.upstreams.listed
-            if listed.role == ENTRY
+            if listed.role == ENTRY_ROLE
             and listed.peer
             and listed.name != self.instance.name
         }
@@ -167,7 +167,7 @@
             self.peers.links.set_addresses(addresses)
 
     async def stop(self) -> bool:
-        """Let running requests finish, write their bills and return all grants.
+        """Wait for running requests, write their bills and return all grants.
 
         :returns: whether all grants were returned before the deadline
         """
@@ -178,7 +178,7 @@
         deadline = self.reactor.seconds() + self.settings.limits.stop_seconds
         while self.runner.count_running() and self.reactor.seconds() < deadline:
             await sleep(STOP_CHECK_INTERVAL_SECONDS, self.reactor)
-        deadline = self.reactor.seconds() + RETURN_UNSPENT_SECONDS
+        deadline = self.reactor.seconds() + RETURN_TIMEOUT_SECONDS
         returned = await self.grants.return_unspent(self.runner.count_running)
         while not returned and self.reactor.seconds() < deadline:
             await sleep(STOP_CHECK_INTERVAL_SECONDS, self.reactor)
@@ -195,7 +195,7 @@
 
     # Calls from the peer task
 
-    def describe(self) -> Heartbeat:
+    def make_heartbeat(self) -> Heartbeat:
         """Return this instance's heartbeat."""
         return Heartbeat(
             self.instance,
@@ -205,7 +205,7 @@
             self.upstreams.list_leaving(),
         )
 
-    def receive_peer(self, heartbeat: Heartbeat) -> None:
+    def receive_heartbeat(self, heartbeat: Heartbeat) -> None:
         """Process a peer's heartbeat."""
         self.configuration.receive_version(heartbeat.version)
         self.upstreams.mark_leaving(heartbeat.leaving_upstreams)
@@ -225,7 +225,7 @@
         self.configuration.receive_deltas(message)
 
     def receive_budget_call(self, message: HolderMessage | Recall) -> Any | None:
-        """Return the response to the holder of a grant."""
+        """Return the response to a budget message of a peer, ``None`` without any."""
         return self.grants.receive_call(message)
 
     def receive_budget_response(self, message: Any) -> None:
--- a/packages/pondquay-daemon/src/pondquay_daemon/calls.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/calls.py
@@ -1,4 +1,4 @@
-"""Callers' requests, their responses and refusals."""
+"""Types of callers' requests, responses and refusals."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     :param keyed: whether the caller sent an idempotency key and may retry with it
     :param repeatable: whether the request may run more than once
     :param wait: seconds for which the request may wait in the queue
-    :param content: digest of the request, to detect a key reused for another request
+    :param content_digest: digest that detects a key reused for another request
     """
 
     request: RequestName
@@ -32,7 +32,7 @@
     repeatable: bool
     priority: Priority
     wait: float
-    content: str
+    content_digest: str
 
 
 @dataclass(frozen=True, slots=True)
@@ -93,7 +93,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """Why a caller receives no complete response.
+    """The reason why a caller receives no complete response.
 
     :param outcome: whether the request ran, as far as is known
     :param retry_after: seconds after which a retry may succeed, ``None`` if none can
@@ -122,9 +122,12 @@
 
 @dataclass(slots=True)
 class CachedResponse:
-    """A complete response, cached in case its caller retries the request."""
+    """A complete response, cached in case its caller retries the request.
 
-    content: str
+    :param content_digest: digest of the request
+    """
+
+    content_digest: str
     tokens: int
     frames: tuple[Frame, ...] = ()
     status: int = 200
--- a/packages/pondquay-daemon/src/pondquay_daemon/completionruns.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/completionruns.py
@@ -1,4 +1,4 @@
-"""Runs chat completions at engines until a response is complete or given up."""
+"""Runs chat completions at engines, resumes their streams, and retries failures."""
 
 from __future__ import annotations
 
@@ -139,16 +139,16 @@
         failures = 0
         while failures < MAX_RESUMES and not response.complete:
             await sleep(RESUME_BACKOFF_SECONDS * failures, self._clock)
-            before = response.next_offset
+            offset = response.next_offset
             try:
-                await self._engines.resume(url, response.stream, before, on_frame)
+                await self._engines.resume(url, response.stream, offset, on_frame)
                 self._metrics.resumes.inc()
             except RefusedError:
                 return
             except MayHaveRunError:
                 failures += 1
                 continue
-            failures = 0 if response.next_offset > before else failures + 1
+            failures = 0 if response.next_offset > offset else failures + 1
 
     async def _give_up_started(
         self, progress: Progress, started: StartedAttempt
@@ -177,14 +177,17 @@
         response: Response,
         sink: FrameSink,
     ) -> Delivered:
-        """Settle before forwarding the last frame, so that its bill is recorded."""
+        """Settle an attempt, then forward its last frame.
+
+        The bill is settled first, so that each complete response is billed.
+        """
         last = response.frames[-1]
         used = last.prompt_tokens + last.output_tokens
         charged = await self._grants.settle(started.attempt, used)
         tokens = used if charged is None else charged
         sink.forward(last)
         self._index.cache(
-            call, CachedResponse(call.content, tokens, tuple(response.frames))
+            call, CachedResponse(call.content_digest, tokens, tuple(response.frames))
         )
         self._metrics.billed_tokens.labels(call.request.workspace).inc(tokens)
         log_event(
--- a/packages/pondquay-daemon/src/pondquay_daemon/endpoints/callers.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/endpoints/callers.py
@@ -22,7 +22,7 @@
 from pondquay_daemon.endpoints.completions import (
     BILLED_HEADER,
     OUTCOME_HEADER,
-    CompleteResponse,
+    BufferedResponse,
     CompletionResponse,
     StreamedResponse,
     set_request_header,
@@ -61,12 +61,12 @@
     from pondquay_daemon.settings import LimitsSection
 
 GENERATED_KEY_BYTES = 16
-FORWARDED_HEADERS = ("Content-Type", "Accept", "If-Match", "If-None-Match")
+FORWARDED_REQUEST_HEADERS = ("Content-Type", "Accept", "If-Match", "If-None-Match")
 METHODS = ["GET", "HEAD", "OPTIONS", "PUT", "DELETE", "POST", "PATCH"]
 
 
 class RejectedError(Exception):
-    """A request is invalid; it is not charged.
+    """A request is rejected before it runs; it is not charged.
 
     :param param: name of the invalid field or header
     """
@@ -107,7 +107,7 @@
         self.app.handle_errors(RejectedError)(handler)
 
     def show_rejected(self, request: Request, failure: Any) -> bytes:
-        """Return the error response to an invalid request."""
+        """Return the error response to a rejected request."""
         error: RejectedError = failure.value
         request.setHeader(OUTCOME_HEADER, Outcome.NOT_RUN.value)
         self._count("rejected", error.code)
@@ -165,7 +165,7 @@
             )
             response = StreamedResponse(request, call, include_usage)
         else:
-            response = CompleteResponse(request, call)
+            response = BufferedResponse(request, call)
         response.set_first_callback(lambda: self._observe_first_token(started_at))
         return Deferred.fromCoroutine(self._complete(call, response))
 
@@ -228,7 +228,7 @@
             repeatable=headers.repeatable != "no",
             priority=headers.priority or workspace.priority,
             wait=self._limit_wait(headers),
-            content=digest_content([form.model, messages, limit]),
+            content_digest=digest_content([form.model, messages, limit]),
             model=form.model,
             messages=messages,
             max_tokens=limit,
@@ -276,7 +276,7 @@
             repeatable = headers.repeatable == "yes"
         forwarded = {
             header: value
-            for header in FORWARDED_HEADERS
+            for header in FORWARDED_REQUEST_HEADERS
             if (value := request.getHeader(header))
         }
         return PlainCall(
@@ -286,7 +286,7 @@
             repeatable=repeatable,
             priority=headers.priority or workspace.priority,
             wait=self._limit_wait(headers),
-            content=sha256(f"{method} {target}\n".encode() + body).hexdigest(),
+            content_digest=sha256(f"{method} {target}\n".encode() + body).hexdigest(),
             service=service.name,
             price=service.price,
             call=ServiceCall(method, target, body, forwarded),
--- a/packages/pondquay-daemon/src/pondquay_daemon/endpoints/completions.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/endpoints/completions.py
@@ -1,4 +1,4 @@
-"""Responses to chat completions: complete, or as server-sent events."""
+"""Responses to chat completions: buffered, or as server-sent events."""
 
 from __future__ import annotations
 
@@ -55,8 +55,8 @@
         raise NotImplementedError
 
 
-class CompleteResponse(CompletionResponse):
-    """A response that is written once it is complete."""
+class BufferedResponse(CompletionResponse):
+    """A response that is buffered and written once it is complete."""
 
     def __init__(self, request: Request, call: CompletionCall) -> None:
         super().__init__(request, call)
@@ -148,7 +148,10 @@
             self.request.write(b"data: " + content + b"\n\n")
 
     def end(self, result: Delivered | Refusal) -> bytes:
-        """Write the last event, or return a refusal if no event was written."""
+        """Write the last event, or return a refusal if no event was written.
+
+        The last event of an incomplete response is an error.
+        """
         if isinstance(result, Delivered):
             self._write(b"[DONE]")
             return b""
--- a/packages/pondquay-daemon/src/pondquay_daemon/endpoints/operators.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/endpoints/operators.py
@@ -191,14 +191,14 @@
         ]
         for peer in components.peers.table.known.values():
             usable = components.peers.is_usable(peer.instance)
-            live = "leaving" if peer.leaving else "live"
+            state = "leaving" if peer.leaving else "live"
             instances.append(
                 {
                     "name": peer.instance.name,
                     "boot": peer.instance.boot,
                     "domain": peer.domain,
                     "version": peer.version,
-                    "state": live if usable else "silent",
+                    "state": state if usable else "silent",
                     "heard_seconds_ago": round(now - peer.last_seen_at, 1),
                 }
             )
@@ -231,13 +231,17 @@
             budget = load_budget(row)
             if budget is None or not self._owns(partner, workspace):
                 continue
-            own = [stored for stored in grants if stored.row.workspace == workspace]
+            workspace_grants = [
+                stored for stored in grants if stored.row.workspace == workspace
+            ]
             held = sum(
-                attempt.reserve for grant in own for attempt in grant.row.held.values()
+                attempt.reserve
+                for grant in workspace_grants
+                for attempt in grant.row.held.values()
             )
             account = accounts.get(workspace)
             by_instance: dict[str, int] = {}
-            for grant in own:
+            for grant in workspace_grants:
                 name = grant.grant.holder.name
                 by_instance[name] = by_instance.get(name, 0) + grant.row.amount
             budgets.append(
--- a/packages/pondquay-daemon/src/pondquay_daemon/engines.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/engines.py
@@ -30,7 +30,7 @@
 ACCEPT_TIMEOUT_SECONDS = 5.0
 STALL_TIMEOUT_SECONDS = 10.0
 REQUEST_TIMEOUT_SECONDS = 2.0
-MAX_CONNECTIONS = 64
+MAX_IDLE_CONNECTIONS = 64
 MAX_LINE_BYTES = 1 << 20
 DATA_PREFIX = b"data: "
 END_MARK = b"[DONE]"
@@ -68,9 +68,9 @@
     boot: str = ""
 
     def for_boot(self, boot: str) -> StreamStatus:
-        """Return the status for a stream that was sent to a certain incarnation.
+        """Return the status of a stream that was sent to an incarnation of the engine.
 
-        The report of any other incarnation says nothing about the stream and counts as
+        Another incarnation does not know the stream, so its report counts as
         unreachable.
 
         :param boot: incarnation to which the stream was sent, empty if unknown
@@ -84,7 +84,7 @@
 class Completion:
     """A completion for an engine to run.
 
-    :param boot: incarnation of the engine to run it; any other refuses
+    :param boot: incarnation of the engine to run it; any other refuses the request
     """
 
     model: str
@@ -96,7 +96,12 @@
 
 
 class FrameReceiver(Protocol):
-    """Parses the events of one stream and reports its frames."""
+    """Parses the events of one stream and reports its frames.
+
+    It aborts a connection that receives nothing for ``STALL_TIMEOUT_SECONDS``.
+
+    :ivar ended: fires with whether the connection ended cleanly
+    """
 
     def __init__(self, on_frame: Callable[[Frame], None], clock: Any) -> None:
         self._on_frame = on_frame
@@ -134,7 +139,7 @@
         self._end(False)
 
     def connectionLost(self, reason: Failure | None = None) -> None:  # noqa: N802
-        """Report whether the stream ended cleanly."""
+        """Report whether the connection ended cleanly."""
         self._end(reason is not None and bool(reason.check(ResponseDone)))
 
     def _end(self, clean: bool) -> None:
@@ -170,13 +175,13 @@
 
 
 class Engines:
-    """Makes calls to engines."""
+    """Client of the engines; ``read_load`` also works for plain services."""
 
     def __init__(self, reactor: Any) -> None:
         self._reactor = reactor
         agent = Agent(
             reactor,
-            pool=make_connection_pool(reactor, MAX_CONNECTIONS),
+            pool=make_connection_pool(reactor, MAX_IDLE_CONNECTIONS),
             connectTimeout=CONNECT_SECONDS,
         )
         self._http = treq.client.HTTPClient(agent)
--- a/packages/pondquay-daemon/src/pondquay_daemon/grants.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/grants.py
@@ -48,7 +48,8 @@
     """Why nothing could be reserved.
 
     ``EXHAUSTED``: the remaining budget does not cover the request;
-    ``UNREACHABLE``: no tokens are held and the table does not respond
+    ``UNREACHABLE``: the held tokens do not suffice and the table does not respond in
+    time, or no witness acknowledges the attempt
     """
 
     EXHAUSTED = "exhausted"
@@ -67,6 +68,7 @@
     """Owns every grant that this instance holds or witnesses.
 
     :param policy: name of the grant policy
+    :ivar unrecorded_bills: bills since start that were not recorded in time
     """
 
     def __init__(
@@ -84,9 +86,9 @@
         self.manager = GrantManager(self.holder, GRANT_POLICIES.create(policy), peers)
         self.witness = Witness()
         self._lock = DeferredLock()
-        self._waiters: dict[str, list[_RefillWaiter]] = {}
-        self._acknowledged: dict[AttemptId, Deferred[bool]] = {}
-        self._recorded: dict[AttemptId, Deferred[bool]] = {}
+        self._refill_waiters: dict[str, list[_RefillWaiter]] = {}
+        self._acknowledge_waiters: dict[AttemptId, Deferred[bool]] = {}
+        self._record_waiters: dict[AttemptId, Deferred[bool]] = {}
         self._send_scheduled = False
         self._refilling = False
         self._stopping = False
@@ -138,26 +140,26 @@
                 continue
             if attempt.state is AttemptState.ACKNOWLEDGED:
                 return Success(attempt)
-            if await self._acknowledge(attempt):
+            if await self._request_acknowledgement(attempt):
                 return Success(attempt)
             self.holder.settle(attempt.id, None)
             self._schedule_send()
         return Failure(BudgetRefusal.UNREACHABLE)
 
-    async def _acknowledge(self, attempt: Attempt) -> bool:
-        """Wait until the witness acknowledges an attempt."""
+    async def _request_acknowledgement(self, attempt: Attempt) -> bool:
+        """Return whether the witness acknowledges an attempt in time."""
         waiter: Deferred[bool] = Deferred()
-        self._acknowledged[attempt.id] = waiter
+        self._acknowledge_waiters[attempt.id] = waiter
         self._schedule_send()
         try:
             return await wait_at_most(
                 waiter, ACKNOWLEDGE_TIMEOUT_SECONDS, self.clock, False
             )
         finally:
-            self._acknowledged.pop(attempt.id, None)
+            self._acknowledge_waiters.pop(attempt.id, None)
 
     def _schedule_send(self) -> None:
-        """Send unsent messages in one batch after the current reactor iteration."""
+        """Schedule one batch of all unsent messages for the next reactor iteration."""
         if not self._send_scheduled:
             self._send_scheduled = True
             self.clock.callLater(0, self._send_messages)
@@ -173,7 +175,7 @@
     def _request_refill(self, workspace: str, tokens: int) -> Deferred[RefillResult]:
         """Request tokens; the deferred fires with the result of the refill."""
         waiter = _RefillWaiter(tokens)
-        self._waiters.setdefault(workspace, []).append(waiter)
+        self._refill_waiters.setdefault(workspace, []).append(waiter)
         if not self._refilling:
             self._refilling = True
             spawn(self._refill(), "GrantTask")
@@ -192,22 +194,25 @@
     async def _refill(self) -> None:
         try:
             await sleep(0, self.clock)
-            while self._waiters:
+            while self._refill_waiters:
                 await self._refill_once()
         finally:
             self._refilling = False
 
     async def _refill_once(self) -> None:
-        """Request the tokens for all waiting requests in one transaction."""
+        """Request tokens for waiting requests in one transaction.
+
+        It covers up to ``MAX_ADJUSTMENTS`` workspaces.
+        """
         async with self._lock:
-            waiting = dict(list(self._waiters.items())[:MAX_ADJUSTMENTS])
+            waiting = dict(list(self._refill_waiters.items())[:MAX_ADJUSTMENTS])
             for workspace in waiting:
-                del self._waiters[workspace]
-            wanted = {
+                del self._refill_waiters[workspace]
+            requested = {
                 workspace: [queued.tokens for queued in waiters]
                 for workspace, waiters in waiting.items()
             }
-            results = await self._platform.run(self.manager.refill(wanted))
+            results = await self._platform.run(self.manager.refill(requested))
         for workspace, waiters in waiting.items():
             for waiter in waiters:
                 waiter.refilled.callback(
@@ -216,42 +221,42 @@
 
     # Settling
 
-    async def settle(self, attempt: Attempt, billed: int | None) -> int | None:
+    async def settle(self, attempt: Attempt, used: int | None) -> int | None:
         """Settle an attempt and wait until its bill is recorded.
 
-        A bill is recorded once the witness or the table has it. If both are
-        unreachable, it remains only in this instance's memory and is counted in
-        ``unrecorded_bills``.
+        A bill is recorded once the witness or the table has it. If neither has it
+        within ``SETTLE_TIMEOUT_SECONDS``, the bill is counted in ``unrecorded_bills``
+        and remains in this instance's memory until it can be written.
 
-        :param billed: the tokens used, ``None`` if nothing is to be billed
+        :param used: the tokens used, ``None`` if nothing is to be billed
         :returns: the tokens billed, ``None`` if nothing is billed
         """
         if attempt.state is AttemptState.SETTLED:
             return attempt.billed
-        charged = self.holder.settle(attempt.id, billed)
+        charged = self.holder.settle(attempt.id, used)
         self._schedule_send()
-        if billed is None:
+        if used is None:
             return None
-        if billed != charged:
-            log_event("usage-over-bound", Level.ERROR, attempt=attempt.id, used=billed)
+        if used != charged:
+            log_event("usage-over-bound", Level.ERROR, attempt=attempt.id, used=used)
         waiter: Deferred[bool] = Deferred()
-        self._recorded[attempt.id] = waiter
+        self._record_waiters[attempt.id] = waiter
         if not await wait_at_most(waiter, SETTLE_TIMEOUT_SECONDS, self.clock, False):
             self.unrecorded_bills += 1
             log_event("bill-in-one-memory", Level.WARNING, attempt=attempt.id)
-        self._recorded.pop(attempt.id, None)
+        self._record_waiters.pop(attempt.id, None)
         return charged
 
     def _mark_recorded(self, attempts: list[Attempt]) -> None:
         for attempt in attempts:
-            waiter = self._recorded.pop(attempt.id, None)
+            waiter = self._record_waiters.pop(attempt.id, None)
             if waiter is not None:
                 waiter.callback(True)
 
     async def _flush_if_due(self) -> None:
-        """Flush soon if a bill has no witness, otherwise at the usual interval.
+        """Flush if a bill had no witness at two checks in a row, or after an interval.
 
-        Bills that a witness has are recorded; flushing them rarely saves table writes.
+        Bills that a witness has are safe, so less frequent flushes save table writes.
         """
         now = self.clock.seconds()
         due = now - self._flushed_at >= FLUSH_INTERVAL_SECONDS
@@ -287,19 +292,19 @@
 
     def _fire_acknowledged(self, attempts: list[Attempt], may_run: bool) -> None:
         for attempt in attempts:
-            waiter = self._acknowledged.pop(attempt.id, None)
+            waiter = self._acknowledge_waiters.pop(attempt.id, None)
             if waiter is not None:
                 waiter.callback(may_run)
 
     def receive_call(self, message: HolderMessage | Recall) -> WitnessMessage | None:
-        """Respond to a holder as its witness, or to a peer's recall."""
+        """Return the witness's response to a holder, or start to handle a recall."""
         if isinstance(message, Recall):
             spawn(self._handle_recall(message), "GrantTask")
             return None
         return self.witness.receive(message)
 
     def link_opened(self, peer: InstanceId) -> None:
-        """Resend a witness the messages that it has not acknowledged."""
+        """Resend the messages that a witness has not acknowledged."""
         self.holder.requeue_unconfirmed(peer)
         self._schedule_send()
 
@@ -312,10 +317,10 @@
             maintain = self.manager.maintain(rebalance=not self._stopping)
             self._apply_maintenance(await self._platform.run(maintain))
 
-    def _apply_maintenance(self, progress: MaintenanceResult) -> None:
-        self._mark_recorded(progress.recorded)
-        self._fire_acknowledged(progress.refused, False)
-        for witness, forget in progress.notices:
+    def _apply_maintenance(self, result: MaintenanceResult) -> None:
+        self._mark_recorded(result.recorded)
+        self._fire_acknowledged(result.refused, False)
+        for witness, forget in result.notices:
             self._peers.send(witness, forget)
 
     async def return_unspent(self, count_running: Callable[[], int]) -> bool:
--- a/packages/pondquay-daemon/src/pondquay_daemon/links.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/links.py
@@ -1,4 +1,4 @@
-"""Links between instances: authenticated streams of length-framed messages.
+"""Links between instances: authenticated streams of length-prefixed messages.
 
 Each instance dials its peers and sends on the links it dialled; responses arrive on the
 same link. Until a peer has proved that it knows the fleet's key, only handshake
@@ -42,7 +42,7 @@
 HANDSHAKE_TIMEOUT_SECONDS = 3.0
 REDIAL_INTERVAL_SECONDS = 0.25
 CONNECT_SECONDS = 1.0
-MAX_LINKS = 1024
+MAX_ACCEPTED_LINKS = 1024
 
 
 class LinkHandler(ABC):
@@ -106,13 +106,13 @@
             self.send(Challenge(self.nonce))
 
     def pauseProducing(self) -> None:  # noqa: N802
-        """Stop reading while the peer does not read the responses."""
+        """Note a full send buffer; stop reading on a link that the peer dialled."""
         self._write_paused = True
         if not self.dialled:
             self.transport.pauseProducing()
 
     def resumeProducing(self) -> None:  # noqa: N802
-        """Resume reading."""
+        """Note that the send buffer has drained, and resume reading."""
         self._write_paused = False
         self.transport.resumeProducing()
 
@@ -177,7 +177,7 @@
         self.transport.abortConnection()
 
     def connectionLost(self, reason: Failure | None = None) -> None:  # noqa: N802
-        """Report the lost link to the task."""
+        """Report the lost link to ``Links``."""
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
         self.links.note_closed(self)
@@ -197,7 +197,7 @@
 
     def buildProtocol(self, addr: object) -> LinkProtocol | None:  # noqa: N802
         """Return the protocol of a new link, ``None`` if too many are accepted."""
-        if self._address is None and self._links.accepted >= MAX_LINKS:
+        if self._address is None and self._links.accepted >= MAX_ACCEPTED_LINKS:
             return None
         return LinkProtocol(self._links, self._address)
 
@@ -207,6 +207,9 @@
 
     :param key: the fleet's key
     :param handler: receives events and messages of the links
+    :ivar aborted_links: links aborted since start
+    :ivar sent_messages: messages sent since start
+    :ivar sent_bytes: bytes sent since start, without length prefixes
     """
 
     def __init__(
@@ -233,7 +236,7 @@
         self.sent_bytes = 0
 
     async def listen(self, address: Address) -> None:
-        """Accept links at an address."""
+        """Accept links at an address, and start to dial the peers' addresses."""
         endpoint = TCP4ServerEndpoint(
             self._reactor, address.port, interface=address.host
         )
@@ -256,7 +259,7 @@
         return sum(1 for link in self._open if not link.dialled)
 
     def set_addresses(self, addresses: set[Address]) -> None:
-        """Set the addresses to which links are kept open."""
+        """Set the addresses that are dialled when no link to them is open."""
         self._addresses = set(addresses)
 
     async def _redial(self) -> None:
@@ -304,7 +307,7 @@
         self._open.add(link)
 
     def note_opened(self, link: LinkProtocol) -> None:
-        """Report a dialled link whose handshake is complete."""
+        """Register and report a dialled link whose handshake is complete."""
         if link.dialled and link.peer is not None:
             self._dialled[link.peer] = link
             self._handler.link_opened(link.peer, link.domain)
@@ -317,7 +320,7 @@
             self._handler.link_closed(link.peer)
 
     def receive(self, link: LinkProtocol, peer: InstanceId, message: Any) -> None:
-        """Forward a message to the handler and send its response back."""
+        """Forward a message to the handler; respond on links that the peer dialled."""
         if link.dialled:
             self._handler.receive_response(peer, message)
             return
--- a/packages/pondquay-daemon/src/pondquay_daemon/logbudget.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/logbudget.py
@@ -21,7 +21,7 @@
 class LineBudget:
     """Limits the lines per second and counts the suppressed ones.
 
-    :ivar total_suppressed: suppressed lines since start, by event
+    :ivar total_suppressed: number of suppressed lines since start, by event
     """
 
     def __init__(self) -> None:
@@ -42,11 +42,11 @@
             self._second = int(now)
             self._by_event.clear()
             self._by_failure.clear()
-        within = (
+        allowed = (
             self._by_event[event] < MAX_EVENT_LINES_PER_SECOND
             and self._by_failure[failure] < MAX_TOTAL_LINES_PER_SECOND
         )
-        if not within:
+        if not allowed:
             self.count_suppressed(event)
             return False
         self._by_event[event] += 1
@@ -59,7 +59,10 @@
         self.total_suppressed[event] += 1
 
     def pop_suppressed(self, now: float) -> dict[str, int]:
-        """Return and reset the lines suppressed in earlier seconds, by event."""
+        """Return and reset the number of suppressed lines, by event.
+
+        The result is empty during the second of the latest call of ``acquire``.
+        """
         if int(now) == self._second or not self._suppressed:
             return {}
         suppressed = dict(self._suppressed)
--- a/packages/pondquay-daemon/src/pondquay_daemon/peers.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/peers.py
@@ -25,8 +25,8 @@
     from pondquay.addresses import Address
     from pondquay.names import InstanceId, RequestName
 
-HEARTBEAT_SECONDS = 0.5
-RESPONSE_SECONDS = 0.5
+HEARTBEAT_INTERVAL_SECONDS = 0.5
+RESPONSE_TIMEOUT_SECONDS = 0.5
 FORGET_AFTER_SECONDS = 30.0
 
 
@@ -34,11 +34,11 @@
     """Handles the calls and responses of peers."""
 
     @abstractmethod
-    def describe(self) -> Heartbeat:
+    def make_heartbeat(self) -> Heartbeat:
         """Return this instance's heartbeat."""
 
     @abstractmethod
-    def receive_peer(self, heartbeat: Heartbeat) -> None:
+    def receive_heartbeat(self, heartbeat: Heartbeat) -> None:
         """Process a peer's heartbeat."""
 
     @abstractmethod
@@ -51,7 +51,7 @@
 
     @abstractmethod
     def receive_budget_call(self, message: Any) -> Any | None:
-        """Return the response to the holder of a grant."""
+        """Return the response to a budget message of a peer, ``None`` without any."""
 
     @abstractmethod
     def receive_budget_response(self, message: Any) -> None:
@@ -93,7 +93,7 @@
         """Start to accept links and to send heartbeats."""
         self._listener = listener
         await self.links.listen(address)
-        self.repeat(HEARTBEAT_SECONDS, self._send_heartbeat)
+        self.repeat(HEARTBEAT_INTERVAL_SECONDS, self._send_heartbeat)
 
     async def stop(self) -> None:
         """Close all links and stop the task's loops."""
@@ -107,7 +107,7 @@
         return self._listener
 
     async def _send_heartbeat(self) -> None:
-        self.links.broadcast(self.listener.describe())
+        self.links.broadcast(self.listener.make_heartbeat())
         now = self.clock.seconds()
         for instance in self.table.suspects(now):
             if now - self.table.known[instance].last_seen_at > FORGET_AFTER_SECONDS:
@@ -150,14 +150,14 @@
 
     def announce(self) -> None:
         """Send a heartbeat to all peers immediately."""
-        self.links.broadcast(self.listener.describe())
+        self.links.broadcast(self.listener.make_heartbeat())
 
     async def find_request(
         self, request: RequestName
     ) -> list[tuple[InstanceId, FoundRequest]]:
         """Ask the peers of the same domain for a running attempt of a request.
 
-        :returns: the peers that know an attempt or its live holder
+        :returns: the peers that know an attempt or its live holder, and their responses
         """
         recipients = [
             peer
@@ -174,7 +174,9 @@
             waiters.append((peer, number, waiter))
         found = []
         for peer, number, waiter in waiters:
-            response = await wait_at_most(waiter, RESPONSE_SECONDS, self.clock, None)
+            response = await wait_at_most(
+                waiter, RESPONSE_TIMEOUT_SECONDS, self.clock, None
+            )
             self._queries.pop(number, None)
             if response is None:
                 continue
@@ -196,10 +198,10 @@
     # Events and messages of links
 
     def link_opened(self, peer: InstanceId, domain: str) -> None:
-        """Send a heartbeat on a new link."""
+        """Add a peer to the table and send it a heartbeat."""
         log_event("peer-connected", peer=peer, domain=domain)
         self.table.receive(Heartbeat(peer, domain, 0, False), self.now())
-        self.links.send(peer, self.listener.describe())
+        self.links.send(peer, self.listener.make_heartbeat())
         self.listener.link_opened(peer)
 
     def link_closed(self, peer: InstanceId) -> None:
@@ -216,7 +218,7 @@
         match message:
             case Heartbeat():
                 self.table.receive(message, self.now())
-                self.listener.receive_peer(message)
+                self.listener.receive_heartbeat(message)
                 return None
             case FindRequest():
                 return self.listener.find_request(peer, message)
--- a/packages/pondquay-daemon/src/pondquay_daemon/platform.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/platform.py
@@ -47,7 +47,7 @@
 OK = 200
 CONFLICT = 409
 TOO_MANY_REQUESTS = 429
-MAX_CONNECTIONS = 8
+MAX_IDLE_CONNECTIONS = 8
 
 NETWORK_ERRORS = (
     ConnectError,
@@ -66,6 +66,8 @@
     """An entry instance or upstream in the platform's list.
 
     :param role: ``entry``, ``engine`` or ``service``
+    :param url: base URL of an upstream
+    :param peer: address of an entry instance for its peers
     :param state: ``live`` or ``leaving``
     """
 
@@ -87,17 +89,20 @@
 
 
 def make_connection_pool(
-    reactor: Any, max_connections: int = MAX_CONNECTIONS
+    reactor: Any, max_idle: int = MAX_IDLE_CONNECTIONS
 ) -> HTTPConnectionPool:
-    """Return a connection pool that doesn't retry requests."""
+    """Return a connection pool that doesn't retry requests.
+
+    :param max_idle: maximum number of idle connections kept for each host
+    """
     pool = HTTPConnectionPool(reactor, persistent=True)
-    pool.maxPersistentPerHost = max_connections
+    pool.maxPersistentPerHost = max_idle
     pool.retryAutomatically = False
     return pool
 
 
 class Platform:
-    """Makes calls to the platform.
+    """Client of the platform.
 
     :param url: base URL of the platform
     :param domain: failure domain of this instance
@@ -175,7 +180,10 @@
         return Unreachable() if status == TOO_MANY_REQUESTS else OutcomeUnknown()
 
     async def list_instances(self) -> list[ListedInstance] | None:
-        """Return the platform's list, which may lag, ``None`` if it is unavailable."""
+        """Return the platform's list of instances, ``None`` if it is unavailable.
+
+        The list includes upstreams and may be out of date.
+        """
         try:
             status, content = await self._get("/instances")
             return _INSTANCES_ADAPTER.validate_python(content) if status == OK else None
--- a/packages/pondquay-daemon/src/pondquay_daemon/progress.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/progress.py
@@ -1,4 +1,4 @@
-"""The progress of one request, and the refusals in which it can end."""
+"""The progress of one request, and refusals of failed requests."""
 
 from __future__ import annotations
 
@@ -62,7 +62,7 @@
 
 
 def refuse_unfinished(progress: Progress) -> Refusal:
-    """Return the refusal of a request whose attempts all failed."""
+    """Return the refusal of a request that ended without a complete response."""
     if progress.lifecycle.outcome() is Outcome.NOT_RUN:
         return progress.refusal(
             RefusalCode.UPSTREAM_FAILED, "no upstream took the request", RETRY_SECONDS
--- a/packages/pondquay-daemon/src/pondquay_daemon/ratelimits.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/ratelimits.py
@@ -1,4 +1,4 @@
-"""Parses the rate limit that an upstream's response names."""
+"""Parses the rate limit that an upstream's response states."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
     from collections.abc import Iterable
 
 # Matches a decimal number without sign or exponent.
-RATE_FORM = re.compile(rb"[0-9]{1,15}(\.[0-9]{0,15})?|\.[0-9]{1,15}")
+RATE_PATTERN = re.compile(rb"[0-9]{1,15}(\.[0-9]{0,15})?|\.[0-9]{1,15}")
 
 
 def read_rate_limit(values: Iterable[bytes]) -> float | None:
@@ -22,7 +22,7 @@
         (
             float(text)
             for text in map(bytes.strip, values)
-            if RATE_FORM.fullmatch(text) is not None
+            if RATE_PATTERN.fullmatch(text) is not None
         ),
         default=None,
     )
--- a/packages/pondquay-daemon/src/pondquay_daemon/recovery.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/recovery.py
@@ -48,7 +48,7 @@
 SEARCH_INTERVAL_SECONDS = 5.0
 FOLD_INTERVAL_SECONDS = 2.0
 ORPHAN_INTERVAL_SECONDS = 5.0
-FOLD = "fold"
+FOLD_LEASE = "fold"
 MAX_FOLDS = 20
 REPORT_TIMEOUT_SECONDS = 2.0
 RETRY_SECONDS = 1
@@ -90,16 +90,16 @@
         self._engines = engines
         self.succession = Succession(instance, grants.witness, peers)
         self._unresolved: dict[AttemptId, tuple[Attempt, str]] = {}
-        self._reports: dict[AttemptId, Deferred[bool]] = {}
+        self._report_waiters: dict[AttemptId, Deferred[bool]] = {}
         self._segment = 0
-        self._searched: dict[InstanceId, float] = {}
-        self._fold_lease = Lease(FOLD, str(instance))
+        self._searched_at: dict[InstanceId, float] = {}
+        self._fold_lease = Lease(FOLD_LEASE, str(instance))
 
     def start(self) -> None:
-        """Start to sweep, to fold bills and to adopt orphans."""
+        """Start to resolve attempts of dead peers and to fold bills."""
         self.repeat(SWEEP_INTERVAL_SECONDS, self._sweep)
         self.repeat(FOLD_INTERVAL_SECONDS, self._fold)
-        self.repeat(ORPHAN_INTERVAL_SECONDS, self._adopt_orphans)
+        self.repeat(ORPHAN_INTERVAL_SECONDS, self._resolve_orphans)
 
     @property
     def _witness(self) -> Witness:
@@ -118,10 +118,10 @@
     # Attempts of this instance with an unknown outcome
 
     def track_unresolved(self, attempt: Attempt, upstream: str) -> None:
-        """Query the outcome of an attempt that may have run until it is known."""
+        """Cancel an attempt that may have run until its outcome is known."""
         self._unresolved[attempt.id] = (attempt, upstream)
 
-    async def _query_unresolved(self) -> None:
+    async def _cancel_unresolved(self) -> None:
         for attempt, name in list(self._unresolved.values()):
             upstream = self._upstreams.known.get(name)
             if upstream is None:
@@ -139,7 +139,7 @@
     # Grants of dead peers
 
     async def _sweep(self) -> None:
-        await self._query_unresolved()
+        await self._cancel_unresolved()
         for grant in self.succession.seal_unresponsive():
             log_event("grant-sealed", grant=grant)
         await self._search_unknown_grants()
@@ -152,22 +152,23 @@
     async def _search_unknown_grants(self) -> None:
         """Seal grants of suspected holders that name this instance as their witness.
 
-        They are found in the table, as their holders may never have contacted it.
+        They are read from the table, since a holder may have crashed before it
+        contacted this instance.
         """
         now = self._peers.now()
         suspects = self._peers.table.suspects(now)
-        self._searched = {
+        self._searched_at = {
             suspect: searched_at
-            for suspect, searched_at in self._searched.items()
+            for suspect, searched_at in self._searched_at.items()
             if suspect in suspects
         }
         for holder in suspects:
             if (
-                now - self._searched.get(holder, -SEARCH_INTERVAL_SECONDS)
+                now - self._searched_at.get(holder, -SEARCH_INTERVAL_SECONDS)
                 < SEARCH_INTERVAL_SECONDS
             ):
                 continue
-            self._searched[holder] = now
+            self._searched_at[holder] = now
             await self._platform.run(self.succession.seal_unknown_grants(holder))
 
     async def _query_open_attempts(self, grant: WitnessedGrant) -> None:
@@ -191,7 +192,8 @@
     ) -> StreamStatus:
         """Return the status of a stream, and cancel it if it never arrived.
 
-        A running stream isn't cancelled, since its caller may retry for its response.
+        A running stream isn't cancelled, since its caller may retry to
+        fetch the response.
         """
         status = await self._engines.query_status(url, stream)
         if status.state is StreamState.UNKNOWN and status.boot == boot:
@@ -200,7 +202,7 @@
 
     # Attempts left in sealed grants
 
-    async def _adopt_orphans(self) -> None:
+    async def _resolve_orphans(self) -> None:
         """Resolve the attempts in sealed grants whose holders are dead.
 
         Such attempts were running when their holder sealed the grant because its
@@ -219,9 +221,9 @@
                 and holder != self._instance
                 and self._peers.is_presumed_dead(holder)
             ):
-                await self._resolve_orphan(stored)
+                await self._resolve_held_attempts(stored)
 
-    async def _resolve_orphan(self, stored: StoredGrant) -> None:
+    async def _resolve_held_attempts(self, stored: StoredGrant) -> None:
         resolutions = []
         bills = []
         for number, held in stored.row.held.items():
@@ -275,9 +277,9 @@
     async def take_over(
         self, call: CompletionCall, sink: FrameSink
     ) -> CachedResponse | Refusal | None:
-        """Forward the response of an attempt whose instance died.
+        """Take over a request whose instance died, and forward its response.
 
-        :returns: ``None`` if the request is to run at this instance
+        :returns: ``None`` if nothing was forwarded and the request may run here
         """
         found = await self._find_attempt(call.request)
         if isinstance(found, Refusal) or found is None:
@@ -301,20 +303,20 @@
         await self._report_settlement(found, call.request, tokens)
         sink.forward(last)
         log_event("request-taken-over", request=call.request, attempt=found.attempt)
-        return CachedResponse(call.content, tokens, tuple(response.frames))
+        return CachedResponse(call.content_digest, tokens, tuple(response.frames))
 
     async def _find_attempt(
         self, request: RequestName
     ) -> _FoundAttempt | Refusal | None:
-        own = self._witness.find_request(request)
-        if own and not self._peers.is_usable(own[-1].holder):
-            newest = own[-1]
+        witnessed = self._witness.find_request(request)
+        if witnessed and not self._peers.is_usable(witnessed[-1].holder):
+            newest = witnessed[-1]
             attempt = AttemptId(newest.grant, newest.intent.seq)
             return _FoundAttempt(
                 None, attempt, newest.intent.upstream, newest.intent.stream
             )
         found = await self._peers.find_request(request)
-        if own or any(response.holder_alive for _, response in found):
+        if witnessed or any(response.holder_alive for _, response in found):
             return Refusal(
                 RefusalCode.REQUEST_RUNNING,
                 "a request with this key is running at another instance",
@@ -353,18 +355,18 @@
             return
         settlement = Settlement(found.attempt.seq, request, tokens)
         waiter: Deferred[bool] = Deferred()
-        self._reports[found.attempt] = waiter
+        self._report_waiters[found.attempt] = waiter
         self._peers.send(
             found.witness,
             Settle(found.attempt.grant, request.workspace, (settlement,)),
         )
         if not await wait_at_most(waiter, REPORT_TIMEOUT_SECONDS, self.clock, False):
             log_event("report-unanswered", Level.WARNING, attempt=found.attempt)
-        self._reports.pop(found.attempt, None)
+        self._report_waiters.pop(found.attempt, None)
 
     def note_settled(self, grant: GrantId, seqs: tuple[int, ...]) -> None:
-        """Note that a witness has recorded settlements."""
+        """End the wait for settlements that a witness has recorded."""
         for seq in seqs:
-            waiter = self._reports.pop(AttemptId(grant, seq), None)
+            waiter = self._report_waiters.pop(AttemptId(grant, seq), None)
             if waiter is not None:
                 waiter.callback(True)
--- a/packages/pondquay-daemon/src/pondquay_daemon/requestattempts.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/requestattempts.py
@@ -36,13 +36,16 @@
         self._retries = RetryBudget()
 
     def note_request(self) -> None:
-        """Count a request, which adds to the budget for retries."""
+        """Add to the retry budget for a new request."""
         self._retries.earn()
 
     async def start(
         self, progress: Progress, requirements: UpstreamRequirements
     ) -> StartedAttempt | Refusal:
-        """Place an attempt at an upstream and reserve its maximum cost."""
+        """Place an attempt at an upstream and reserve its maximum cost.
+
+        :returns: a refusal if it cannot be placed or its cost cannot be reserved
+        """
         call = progress.call
         if not self._upstreams.is_served(requirements):
             return progress.refusal(
@@ -67,7 +70,10 @@
         return StartedAttempt(placement, reserved.unwrap())
 
     def may_try_again(self, progress: Progress) -> bool:
-        """Return whether another attempt is allowed, and charge the retry budget."""
+        """Count a failed attempt and return whether another one is allowed.
+
+        An allowed attempt uses up one retry of the retry budget.
+        """
         progress.attempts += 1
         if progress.attempts >= MAX_ATTEMPTS:
             return False
@@ -85,7 +91,7 @@
     async def give_up_unstarted(
         self, progress: Progress, started: StartedAttempt, error: Exception
     ) -> None:
-        """Record the failure of an attempt that did not run, and free its tokens."""
+        """Record the failure of an attempt that did not run, and release its tokens."""
         self.log_failure(progress.call, started, error)
         upstream = started.placement.upstream
         if isinstance(error, RefusedError) and started.attempt.boot == upstream.boot:
@@ -95,7 +101,10 @@
         await self._grants.settle(started.attempt, None)
 
     def avoid(self, progress: Progress, started: StartedAttempt) -> None:
-        """Exclude the attempt's upstream from further attempts of the request."""
+        """Record that an attempt's upstream failed.
+
+        Further attempts of the request use it only if no other upstream can serve them.
+        """
         upstream = started.placement.upstream
         progress.failed.add(upstream.name)
         upstream.circuit.fail(self._clock.seconds())
--- a/packages/pondquay-daemon/src/pondquay_daemon/requestclaims.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/requestclaims.py
@@ -73,7 +73,7 @@
         if call.repeatable:
             return None
         progress.nonce = f"{self._instance}/{self._next_number()}"
-        match await self._write(progress):
+        match await self._write_claim(progress):
             case Claimed():
                 return None
             case AlreadyClaimed(row):
@@ -91,7 +91,7 @@
             PLATFORM_RETRY_SECONDS,
         )
 
-    async def _write(self, progress: Progress) -> ClaimOutcome | None:
+    async def _write_claim(self, progress: Progress) -> ClaimOutcome | None:
         """Write a claim; return ``None`` if the table doesn't respond in time.
 
         The request is then refused, and the claim is released if the table stored it.
--- a/packages/pondquay-daemon/src/pondquay_daemon/requestindex.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/requestindex.py
@@ -42,7 +42,7 @@
         """
         running = self.running.get(call.request)
         if running is not None:
-            if running.content != call.content:
+            if running.content_digest != call.content_digest:
                 return _refuse_reused_key()
             return Refusal(
                 RefusalCode.REQUEST_RUNNING,
@@ -51,12 +51,12 @@
                 RETRY_SECONDS,
             )
         cached = self._cached.get(call.request)
-        if cached is not None and cached.content != call.content:
+        if cached is not None and cached.content_digest != call.content_digest:
             return _refuse_reused_key()
         return cached
 
     def begin(self, call: Call) -> None:
-        """Add a request for whose attempts at other instances a search starts."""
+        """Add a request, and mark it as being searched for at other instances."""
         self.running[call.request] = call
         self._searching.add(call.request)
 
@@ -85,7 +85,11 @@
         return request not in self._searching or own_id < requester
 
     def cache(self, call: Call, response: CachedResponse) -> None:
-        """Cache a complete response, and evict the oldest ones beyond the limits."""
+        """Cache a complete response, and evict the oldest ones beyond the limits.
+
+        Responses to requests without an idempotency key and responses of more than a
+        quarter of the maximum size are not cached.
+        """
         if not call.keyed or response.size > self._max_bytes // 4:
             return
         self._cached[call.request] = response
--- a/packages/pondquay-daemon/src/pondquay_daemon/retryafter.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/retryafter.py
@@ -10,7 +10,7 @@
 
 # Keeps an erroneous value from excluding an upstream permanently.
 MAX_BACKOFF_SECONDS = 3600.0
-SECONDS_FORM = re.compile(rb"[0-9]{1,15}(\.[0-9]{0,15})?")
+SECONDS_PATTERN = re.compile(rb"[0-9]{1,15}(\.[0-9]{0,15})?")
 
 
 def read_backoff(values: Iterable[bytes]) -> float:
@@ -24,6 +24,6 @@
 
 def _read_seconds(value: bytes) -> float:
     text = value.strip()
-    if SECONDS_FORM.fullmatch(text) is None:
+    if SECONDS_PATTERN.fullmatch(text) is None:
         return 0.0
     return min(float(text), MAX_BACKOFF_SECONDS)
--- a/packages/pondquay-daemon/src/pondquay_daemon/runner.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/runner.py
@@ -100,6 +100,7 @@
             self.index.end(call)
 
     def _find_cached(self, call: Call) -> CachedResponse | Refusal | None:
+        """Return the cached response or a refusal, ``None`` if the call may start."""
         if self.stopping or not self._configuration.loaded:
             return Refusal(
                 RefusalCode.NOT_READY,
--- a/packages/pondquay-daemon/src/pondquay_daemon/serviceruns.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/serviceruns.py
@@ -95,7 +95,7 @@
     ) -> CachedResponse:
         await self._grants.settle(started.attempt, call.price)
         cached = CachedResponse(
-            call.content,
+            call.content_digest,
             call.price,
             status=response.status,
             body=response.body,
--- a/packages/pondquay-daemon/src/pondquay_daemon/services.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/services.py
@@ -16,9 +16,9 @@
     from collections.abc import Mapping
 
 CONNECT_SECONDS = 1.0
-RESPONSE_SECONDS = 30.0
+RESPONSE_TIMEOUT_SECONDS = 30.0
 REQUEST_HEADER = "Pondquay-Request"
-FORWARDED_HEADERS = (
+FORWARDED_RESPONSE_HEADERS = (
     "content-type",
     "etag",
     "last-modified",
@@ -50,7 +50,7 @@
 
 
 class Services:
-    """Makes calls to plain services."""
+    """Client of plain services."""
 
     def __init__(self, reactor: Any) -> None:
         self._reactor = reactor
@@ -74,11 +74,11 @@
                 f"{url}/{call.path}",
                 data=call.body or None,
                 headers=headers,
-                timeout=RESPONSE_SECONDS,
+                timeout=RESPONSE_TIMEOUT_SECONDS,
                 allow_redirects=False,
             )
             body = await treq.content(response).addTimeout(
-                RESPONSE_SECONDS, self._reactor
+                RESPONSE_TIMEOUT_SECONDS, self._reactor
             )
         except (ConnectError, ConnectingCancelledError) as error:
             raise NotSentError(str(error)) from error
@@ -86,7 +86,7 @@
             raise MayHaveRunError(str(error)) from error
         forwarded = {
             name: values[0].decode("latin-1")
-            for name in FORWARDED_HEADERS
+            for name in FORWARDED_RESPONSE_HEADERS
             if (values := response.headers.getRawHeaders(name.encode()))
         }
         return ServiceResponse(response.code, body, forwarded)
--- a/packages/pondquay-daemon/src/pondquay_daemon/settings.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the daemon: an INI file, validated as a whole before the start."""
+"""Settings of the daemon, read from an INI file and validated before the start."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     from pondquay.ini import IniDocument, IniSection
 
 PARTNER_PREFIX = "partner "
-MIN_SECRET_BYTES = 16
+MIN_KEY_BYTES = 16
 
 
 class Section(BaseModel):
@@ -51,7 +51,7 @@
 
 
 class PlatformSection(Section):
-    """How to reach the platform.
+    """Connection to the platform.
 
     :param url: base URL of its table service, object store and instance list
     :param timeout: seconds after which a call without a response fails
@@ -77,8 +77,8 @@
             key = path.read_bytes().strip()
         except OSError as error:
             raise ValueError(f"cannot be read: {error.strerror}") from error
-        if len(key) < MIN_SECRET_BYTES:
-            raise ValueError(f"must hold at least {MIN_SECRET_BYTES} bytes")
+        if len(key) < MIN_KEY_BYTES:
+            raise ValueError(f"must hold at least {MIN_KEY_BYTES} bytes")
         return path
 
 
@@ -106,7 +106,7 @@
 
     :param body_bytes: maximum size of a request's body
     :param queue_seconds: maximum wait of a request in the queue
-    :param running: maximum number of requests in progress
+    :param running: maximum number of requests in progress; not enforced
     :param stop_seconds: maximum wait of a planned stop for requests in progress
     """
 
@@ -117,7 +117,10 @@
 
 
 class LogsSection(Section):
-    """The lowest level that is logged."""
+    """Settings of the log.
+
+    :param level: the lowest level that is logged
+    """
 
     level: Annotated[str, Field(pattern="^(debug|info|warning|error)$")] = "info"
 
--- a/packages/pondquay-daemon/src/pondquay_daemon/upstreams.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/upstreams.py
@@ -41,7 +41,8 @@
     :param kind: ``engine`` or ``service``
     :param target: name of the model or the service
     :param partner: partner of the request's workspace
-    :param excluded: names of upstreams that failed to serve the request
+    :param failed: names of upstreams that failed to serve the request; they are chosen
+        only if no other upstream can serve it
     """
 
     request: RequestName
@@ -49,7 +50,7 @@
     target: str
     partner: str
     work: RequestProfile
-    excluded: frozenset[str] = frozenset()
+    failed: frozenset[str] = frozenset()
 
 
 @dataclass(frozen=True, slots=True)
@@ -241,7 +242,7 @@
         untried = [
             candidate
             for candidate in candidates
-            if candidate.name not in requirements.excluded
+            if candidate.name not in requirements.failed
         ]
         local = [candidate for candidate in untried if candidate.domain == self._domain]
         eligible = self._prefer_local(local, untried) or candidates
@@ -254,7 +255,7 @@
     def _prefer_local(
         self, local: list[Upstream], untried: list[Upstream]
     ) -> list[Upstream]:
-        """Return the local upstreams with a free slot, or all untried if none has."""
+        """Return the local upstreams with a free slot, or all untried without any."""
         free = [upstream for upstream in local if upstream.running < upstream.slots]
         return free or untried
 
@@ -297,7 +298,11 @@
         return self._may_use(upstream, requirements)
 
     def _may_use(self, upstream: Upstream, requirements: UpstreamRequirements) -> bool:
-        """Return whether a partner owns a replica or borrows it."""
+        """Return whether a request's partner may use an upstream.
+
+        Services and upstreams without a partner are open to all partners; engines of a
+        partner are open to that partner, and as many as it lends also to a borrower.
+        """
         if (
             upstream.partner in ("", requirements.partner)
             or requirements.kind != ENGINE
