--- a/packages/pondquay-daemon/src/pondquay_daemon/links.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/links.py
@@ -68,6 +68,7 @@
 def compute_digest(key: bytes, nonce: bytes, role: str, name: str, boot: str) -> bytes:
     """Return the digest that proves knowledge of the fleet's key.
 
+    :param nonce: nonce of the side that checks the digest
     :param role: ``proof`` for the dialling side, ``welcome`` for the accepting side
     """
     text = b"|".join([role.encode(), nonce, name.encode(), boot.encode()])
@@ -280,13 +281,20 @@
             self._dialling.discard(address)
 
     def make_proof(self, challenge: bytes, nonce: bytes) -> Proof:
-        """Return this instance's proof for the accepting side."""
+        """Return this instance's proof for the accepting side.
+
+        :param challenge: nonce of the accepting side
+        :param nonce: nonce of this side, for the digest of the peer's welcome
+        """
         name, boot = self._instance.name, self._instance.boot
         digest = compute_digest(self._key, challenge, "proof", name, boot)
         return Proof(name, boot, self._domain, nonce, digest)
 
     def make_welcome(self, challenge: bytes) -> Welcome:
-        """Return this instance's proof for the dialling side."""
+        """Return this instance's proof for the dialling side.
+
+        :param challenge: nonce of the dialling side
+        """
         name, boot = self._instance.name, self._instance.boot
         digest = compute_digest(self._key, challenge, "welcome", name, boot)
         return Welcome(name, boot, self._domain, digest)
--- a/packages/pondquay-daemon/src/pondquay_daemon/logs.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/logs.py
@@ -89,7 +89,7 @@
 def _describe_suppressed(
     message: Mapping[str, Any], event: str, count: int
 ) -> dict[str, Any]:
-    """Return the event that reports the number of suppressed lines of an event."""
+    """Return an event that reports how many lines of an event were suppressed."""
     return {
         "timestamp": message.get("timestamp", 0),
         "message_type": "lines-left-out",
--- a/packages/pondquay-daemon/src/pondquay_daemon/requestclaims.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/requestclaims.py
@@ -94,7 +94,8 @@
     async def _write_claim(self, progress: Progress) -> ClaimOutcome | None:
         """Write a claim; return ``None`` if the table doesn't respond in time.
 
-        The request is then refused, and the claim is released if the table stored it.
+        The request is then refused, and a claim that the table may have stored is
+        released later.
         """
         request, nonce = progress.call.request, progress.nonce
         program = claim_request(request, self._instance, nonce)
--- a/packages/pondquay-daemon/src/pondquay_daemon/wire.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/wire.py
@@ -34,7 +34,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Proof:
-    """Proof of the dialling side that it knows the fleet's key."""
+    """Proof of the dialling side that it knows the fleet's key.
+
+    :param nonce: random bytes, for the digest of the welcome
+    """
 
     name: str
     boot: str
@@ -46,7 +49,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Welcome:
-    """Proof of the accepting side that it knows the fleet's key; ends the handshake."""
+    """Proof of the accepting side that it knows the fleet's key.
+
+    It ends the handshake.
+    """
 
     name: str
     boot: str
