--- a/packages/pondquay-daemon/src/pondquay_daemon/requestclaims.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/requestclaims.py
@@ -73,7 +73,7 @@
         if call.repeatable:
             return None
         progress.nonce = f"{self._instance}/{self._next_number()}"
-        match await self._write(progress):
+        match await self._write_claim(progress):
             case Claimed():
                 return None
             case AlreadyClaimed(row):
@@ -91,10 +91,11 @@
             PLATFORM_RETRY_SECONDS,
         )
 
-    async def _write(self, progress: Progress) -> ClaimOutcome | None:
+    async def _write_claim(self, progress: Progress) -> ClaimOutcome | None:
         """Write a claim; return ``None`` if the table doesn't respond in time.
 
-        The request is then refused, and the claim is released if the table stored it.
+        The request is then refused, and a claim that the table may have stored is
+        released later.
         """
         request, nonce = progress.call.request, progress.nonce
         program = claim_request(request, self._instance, nonce)
