--- a/packages/pondquay-cli/src/pondquay_cli/__init__.py
+++ b/packages/pondquay-cli/src/pondquay_cli/__init__.py
@@ -1,3 +1,3 @@
-"""The operators' command line."""
+"""Command-line interface for operators."""
 
 from __future__ import annotations
--- a/packages/pondquay-cli/src/pondquay_cli/__main__.py
+++ b/packages/pondquay-cli/src/pondquay_cli/__main__.py
@@ -49,10 +49,10 @@
         help=f"file with the partner's operator key (or ${KEY_FILE_VARIABLE})",
     )
     parser.add_argument("--json", action="store_true", help="write JSON")
-    actions = parser.add_subparsers(dest="command", required=True, metavar="COMMAND")
+    subparsers = parser.add_subparsers(dest="command", required=True, metavar="COMMAND")
     for name in COMMANDS.names():
         command = COMMANDS.create(name)
-        subparser = actions.add_parser(
+        subparser = subparsers.add_parser(
             name, help=command.help, epilog=f"example: {command.example}"
         )
         command.add_arguments(subparser)
@@ -84,7 +84,7 @@
         if isinstance(command, LocalCommand):
             result = command.run(options)
         elif isinstance(command, ReportsCommand):
-            # Relay reports are public, so no key is sent.
+            # Relay reports are public, so the key is empty.
             result = await command.run(
                 OperatorClient(reactor, options.reports, ""), options
             )
--- a/packages/pondquay-cli/src/pondquay_cli/client.py
+++ b/packages/pondquay-cli/src/pondquay_cli/client.py
@@ -1,4 +1,4 @@
-"""HTTP client for operator endpoints, with failover from one to the next."""
+"""HTTP client for operator endpoints, with failover between them."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-CONNECT_SECONDS = 2.0
-RESPONSE_SECONDS = 15.0
+CONNECT_TIMEOUT_SECONDS = 2.0
+RESPONSE_TIMEOUT_SECONDS = 15.0
 FIRST_ERROR_STATUS = 400
 UNAVAILABLE_STATUS = 503
 
@@ -22,13 +22,13 @@
     """Client that sends a request to the first operator endpoint that can handle it.
 
     :param urls: endpoints in the order in which they are tried
-    :param key: the partner's operator key
+    :param key: the partner's operator key, empty if none is needed
     """
 
     def __init__(self, reactor: Any, urls: Sequence[str], key: str) -> None:
         self._urls = [url.rstrip("/") for url in urls]
         self._key = key
-        agent = Agent(reactor, connectTimeout=CONNECT_SECONDS)
+        agent = Agent(reactor, connectTimeout=CONNECT_TIMEOUT_SECONDS)
         self._http = treq.client.HTTPClient(agent)
 
     async def get(self, path: str) -> Any:
@@ -37,41 +37,41 @@
         :raises RefusedError: if the endpoint refuses the request
         :raises UnreachableError: if no endpoint can handle the request
         """
-        return await self._call("GET", path, None)
+        return await self._send_with_failover("GET", path, None)
 
     async def list_responses(self, path: str) -> list[Any]:
-        """Return the JSON content at a path from every endpoint that responds.
+        """Return the JSON content at a path from each endpoint that provides it.
 
-        :raises UnreachableError: if no endpoint responds
+        :raises UnreachableError: if no endpoint does
         """
         responses = []
         for url in self._urls:
             try:
                 status, content = await self._send_request("GET", url + path, None)
-            except Exception:  # Unreachable endpoints are left out.
+            except Exception:  # Endpoints that fail are left out.
                 continue
             if status < FIRST_ERROR_STATUS:
                 responses.append(content)
         if not responses:
-            raise UnreachableError("no operator endpoint responded")
+            raise UnreachableError("no endpoint responded successfully")
         return responses
 
     async def post(self, path: str, body: object) -> Any:
         """Post a request and return the JSON content of the response.
 
-        Requests must be idempotent, since a failed one is sent to the next endpoint.
+        The request must be idempotent: if it fails, it is sent to the next endpoint.
 
         :raises RefusedError: if the endpoint refuses the request
         :raises UnreachableError: if no endpoint can handle the request
         """
-        return await self._call("POST", path, body)
+        return await self._send_with_failover("POST", path, body)
 
-    async def _call(self, method: str, path: str, body: object) -> Any:
+    async def _send_with_failover(self, method: str, path: str, body: object) -> Any:
         failures = []
         for url in self._urls:
             try:
                 status, content = await self._send_request(method, url + path, body)
-            except Exception as error:  # After any failure the next endpoint is tried.
+            except Exception as error:  # Any failure leads to the next endpoint.
                 failures.append(f"{url}: {error or type(error).__name__}")
                 continue
             if status == UNAVAILABLE_STATUS:
@@ -93,7 +93,11 @@
         # Passing json=None would send the JSON value null as the body.
         body_arguments: dict[str, Any] = {} if body is None else {"json": body}
         response = await self._http.request(
-            method, url, headers=headers, timeout=RESPONSE_SECONDS, **body_arguments
+            method,
+            url,
+            headers=headers,
+            timeout=RESPONSE_TIMEOUT_SECONDS,
+            **body_arguments,
         )
         return response.code, await treq.json_content(response)
 
--- a/packages/pondquay-cli/src/pondquay_cli/commands/base.py
+++ b/packages/pondquay-cli/src/pondquay_cli/commands/base.py
@@ -54,7 +54,7 @@
 
 
 class ReportsCommand(Command):
-    """A command that reads the reports of relays, whose URLs are arguments."""
+    """A command that reads reports of the relays whose URLs are its arguments."""
 
     @abstractmethod
     async def run(self, client: OperatorClient, options: Namespace) -> CommandResult:
--- a/packages/pondquay-cli/src/pondquay_cli/commands/confirm.py
+++ b/packages/pondquay-cli/src/pondquay_cli/commands/confirm.py
@@ -15,7 +15,7 @@
 
 @COMMANDS.register("confirm")
 class ConfirmCommand(OperatorCommand):
-    """Confirm a plan; this is idempotent."""
+    """Confirm a plan; repeating the command has no further effect."""
 
     help = "confirm a plan; it takes effect once all partners concerned have consented"
     example = "pondquay confirm 3f9c2a1b7d"
--- a/packages/pondquay-cli/src/pondquay_cli/commands/drain.py
+++ b/packages/pondquay-cli/src/pondquay_cli/commands/drain.py
@@ -24,12 +24,12 @@
         parser.add_argument("upstream", metavar="UPSTREAM")
 
     async def run(self, client: OperatorClient, options: Namespace) -> CommandResult:
-        """Drain the upstream and return whether the platform has stored it."""
+        """Drain the upstream and report whether the platform has stored this."""
         content = await client.post(f"/upstreams/{options.upstream}/drain", {})
         text = f"{options.upstream} gets no new requests"
         if not content["stored"]:
             text += (
                 "; the platform is unreachable, so instances that start later do not "
-                "know of it"
+                "know that it is drained"
             )
         return CommandResult(content, text)
--- a/packages/pondquay-cli/src/pondquay_cli/commands/dump.py
+++ b/packages/pondquay-cli/src/pondquay_cli/commands/dump.py
@@ -1,4 +1,4 @@
-"""``pondquay dump INSTANCE``: dump the whole state of one instance."""
+"""``pondquay dump INSTANCE``: show the complete state of an instance."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @COMMANDS.register("dump")
 class DumpCommand(OperatorCommand):
-    """Dump the state of one instance."""
+    """Show the complete state of an instance."""
 
     help = (
         "dump the state of an instance; its endpoint must be among the --operator URLs"
@@ -33,9 +33,12 @@
         :raises InvalidUsageError: if no endpoint that responds belongs to the instance
         """
         dumps = await client.list_responses("/dump")
+        # An instance id is the name and the boot id, separated by a tilde.
         by_name = {dump["instance"].partition("~")[0]: dump for dump in dumps}
         content = by_name.get(options.instance)
         if content is None:
             known = ", ".join(sorted(by_name))
-            raise InvalidUsageError(f"the endpoints that respond are those of {known}")
+            raise InvalidUsageError(
+                f"no endpoint of the instance responded, only those of {known}"
+            )
         return CommandResult(content, json.dumps(content, indent=2))
--- a/packages/pondquay-cli/src/pondquay_cli/commands/explain.py
+++ b/packages/pondquay-cli/src/pondquay_cli/commands/explain.py
@@ -14,7 +14,7 @@
 
     from pondquay_cli.logfiles import LogEvent
 
-AROUND_SECONDS = 2.0
+DEFAULT_MARGIN_SECONDS = 2.0
 
 
 @COMMANDS.register("explain")
@@ -31,9 +31,9 @@
         parser.add_argument(
             "--around",
             type=float,
-            default=AROUND_SECONDS,
+            default=DEFAULT_MARGIN_SECONDS,
             metavar="SECONDS",
-            help="how long before and after the request related events are shown",
+            help="show related events this long before and after the request",
         )
 
     def run(self, options: Namespace) -> CommandResult:
@@ -44,7 +44,7 @@
         events = [event for path in options.files for event in _read_log(path)]
         found = find_request_events(events, options.request, options.around)
         if not found:
-            text = f"no event of {options.request} in {len(events)} events"
+            text = f"found no event of {options.request} among {len(events)} events"
             return CommandResult([], text, EXIT_REFUSED)
         content = [
             {"time": event.time, "instance": event.instance, "event": event.event}
--- a/packages/pondquay-cli/src/pondquay_cli/commands/plan.py
+++ b/packages/pondquay-cli/src/pondquay_cli/commands/plan.py
@@ -31,7 +31,7 @@
     async def run(self, client: OperatorClient, options: Namespace) -> CommandResult:
         """Read the intent, request a plan for it, and return the plan.
 
-        :raises InvalidUsageError: if the file cannot be read or has findings
+        :raises InvalidUsageError: if the file cannot be read or the intent is invalid
         """
         path: Path = options.file
         try:
--- a/packages/pondquay-cli/src/pondquay_cli/commands/relays.py
+++ b/packages/pondquay-cli/src/pondquay_cli/commands/relays.py
@@ -28,7 +28,7 @@
 
 @COMMANDS.register("relays")
 class RelaysCommand(ReportsCommand):
-    """Show each relay's configuration, evacuated domains, rows and crashes."""
+    """Show each relay's configuration, connections, evacuations and malformed rows."""
 
     help = "show relays' configuration, evacuated domains and malformed rows"
     example = "pondquay relays http://10.1.0.40:9464 http://10.2.0.29:9464"
--- a/packages/pondquay-cli/src/pondquay_cli/commands/upstreams.py
+++ b/packages/pondquay-cli/src/pondquay_cli/commands/upstreams.py
@@ -1,4 +1,4 @@
-"""``pondquay upstreams``: show the upstreams as one instance sees them."""
+"""``pondquay upstreams``: list the upstreams known to an instance."""
 
 from __future__ import annotations
 
--- a/packages/pondquay-cli/src/pondquay_cli/errors.py
+++ b/packages/pondquay-cli/src/pondquay_cli/errors.py
@@ -29,6 +29,6 @@
 
 
 class UnreachableError(CommandError):
-    """No operator endpoint responded, or none is able to handle the request now."""
+    """No operator endpoint responded, or none could handle the request."""
 
     status = EXIT_UNREACHABLE
--- a/packages/pondquay-cli/src/pondquay_cli/logfiles.py
+++ b/packages/pondquay-cli/src/pondquay_cli/logfiles.py
@@ -1,4 +1,4 @@
-"""Parsing of instances' log files, and the events related to one request."""
+"""Parsing of instances' log files, and selection of a request's events."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Iterator, Mapping
 
-FIELD = re.compile(r'([\w-]+)=("(?:[^"\\]|\\.)*"|\S*)')
-START = "time="
-# Events that change what an instance knows of its peers and dependencies. They matter
-# to every request at the instance.
+FIELD_PATTERN = re.compile(r'([\w-]+)=("(?:[^"\\]|\\.)*"|\S*)')
+EVENT_START = "time="
+# Events about an instance itself or its links to peers and dependencies. They are
+# related to every request at the instance.
 INSTANCE_STATE_EVENTS = frozenset(
     {
         "started",
@@ -27,7 +27,8 @@
         "lines-left-out",
     }
 )
-# Fields by which an event without a request id is related to a request.
+# An event without a request id is related to a request if it has the same value in one
+# of these fields.
 SUBJECT_FIELDS = ("upstream", "workspace")
 
 
@@ -47,7 +48,7 @@
     fields: Mapping[str, str]
 
     def describe(self) -> str:
-        """Return the event as one line of readable text."""
+        """Return the event as a line of text."""
         fields = " ".join(f"{name}={value}" for name, value in self.fields.items())
         return f"{self.time:.3f} {self.instance} {self.event} {fields}".rstrip()
 
@@ -55,12 +56,14 @@
 def parse_line(line: str, source: str) -> LogEvent | None:
     """Return the event of a log line, ``None`` if the line is not an event.
 
-    :param source: instance name to use if the line has none before its fields
+    :param source: instance name to use if none precedes the fields
     """
-    start = line.find(START)
+    start = line.find(EVENT_START)
     if start < 0:
         return None
-    fields = {name: _unquote(value) for name, value in FIELD.findall(line[start:])}
+    fields = {
+        name: _unquote(value) for name, value in FIELD_PATTERN.findall(line[start:])
+    }
     try:
         time = float(fields.pop("time"))
         event = fields.pop("event")
@@ -74,7 +77,7 @@
 def read_events(lines: Iterable[str], source: str) -> Iterator[LogEvent]:
     """Yield the events of a log; other lines are skipped.
 
-    :param source: instance name for lines that have none
+    :param source: instance name for lines without a name
     """
     for line in lines:
         event = parse_line(line, source)
@@ -83,12 +86,14 @@
 
 
 def find_request_events(
-    events: Iterable[LogEvent], request: str, around: float
+    events: Iterable[LogEvent], request: str, margin_seconds: float
 ) -> list[LogEvent]:
-    """Return a request's events and related events of its instances, by time.
+    """Return a request's events and related events of its instances, sorted by time.
+
+    Related events have no request id.
 
-    :param around: seconds before the request's first event and after its last within
-        which related events are included
+    :param margin_seconds: how long before the request's first event and after its last
+        event related events are included
     """
     all_events = sorted(events, key=lambda event: event.time)
     request_events = [
@@ -97,7 +102,10 @@
     if not request_events:
         return []
     instances = {event.instance for event in request_events}
-    start, end = request_events[0].time - around, request_events[-1].time + around
+    start, end = (
+        request_events[0].time - margin_seconds,
+        request_events[-1].time + margin_seconds,
+    )
     subjects = {
         (name, event.fields[name])
         for event in request_events
--- a/packages/pondquay-lab/src/pondquay_lab/__init__.py
+++ b/packages/pondquay-lab/src/pondquay_lab/__init__.py
@@ -1,3 +1,3 @@
-"""Experiments and measurements on the decisions, in virtual time."""
+"""Simulations, benchmarks and experiments on budgets and routing."""
 
 from __future__ import annotations
--- a/packages/pondquay-lab/src/pondquay_lab/bench.py
+++ b/packages/pondquay-lab/src/pondquay_lab/bench.py
@@ -92,7 +92,7 @@
 
 
 def measure_witnesses(witnesses: bool) -> list[Row]:
-    """Measure the tokens that crashes strand.
+    """Measure the unspent tokens in the grants of crashed instances.
 
     :param witnesses: whether grants have witnesses
     """
--- a/packages/pondquay-lab/src/pondquay_lab/budgetnodes.py
+++ b/packages/pondquay-lab/src/pondquay_lab/budgetnodes.py
@@ -1,4 +1,4 @@
-"""Instances of the budget simulation, with the real holders, managers and witnesses."""
+"""Instances of the budget simulation, which run the production code for budgets."""
 
 from __future__ import annotations
 
@@ -130,7 +130,10 @@
         return None
 
     def recall(self, tokens: int) -> None:
-        """Ask all instances outside isolated domains to return tokens."""
+        """Ask all other instances outside isolated domains to return tokens.
+
+        An instance of an isolated domain asks none.
+        """
         if self.domain in self.simulation.isolated_domains:
             return
         for node in self.simulation.nodes:
@@ -139,12 +142,12 @@
                 self.simulation.run(node, node.manager.handle_recall(message))
 
     def deliver_messages(self) -> None:
-        """Deliver pending messages to witnesses, and their responses."""
+        """Deliver pending messages to witnesses, and their responses to the holder."""
         for node in self.simulation.nodes:
             if node is self:
                 continue
             for message in self.holder.take_messages(node.own_id):
-                self.take_response(node.witness.receive(message))
+                self.handle_response(node.witness.receive(message))
         for witness, flushed in self.holder.take_finished():
             self.send(witness, flushed)
 
@@ -154,7 +157,7 @@
         if node is not None:
             node.witness.receive(message)
 
-    def take_response(self, response: WitnessMessage | None) -> None:
+    def handle_response(self, response: WitnessMessage | None) -> None:
         """Handle a witness's response."""
         if response is None:
             return
--- a/packages/pondquay-lab/src/pondquay_lab/budgetruns.py
+++ b/packages/pondquay-lab/src/pondquay_lab/budgetruns.py
@@ -35,7 +35,7 @@
     from pondquay_lab.workloads import Arrival
 
 # Interval between crashes of instances.
-DEATH_INTERVAL_SECONDS = 600.0
+CRASH_INTERVAL_SECONDS = 600.0
 
 
 @dataclass(slots=True)
@@ -63,7 +63,7 @@
         simulation = Simulation(self.policy, self.limit, witnesses=self.witnesses)
         for number, arrival in enumerate(arrivals):
             self.schedule(arrival.at, partial(self.arrive, simulation, arrival, number))
-        self.schedule_ticks(simulation)
+        self.schedule_maintenance(simulation)
         self.schedule_faults(simulation)
         while self._events:
             simulation.now, _, event = heappop(self._events)
@@ -77,7 +77,7 @@
         """Schedule an event at a time."""
         heappush(self._events, (at, next(self._order), event))
 
-    def schedule_ticks(self, simulation: Simulation) -> None:
+    def schedule_maintenance(self, simulation: Simulation) -> None:
         """Schedule maintenance of every instance each second, at staggered times."""
         for index in range(INSTANCES):
             at = index / INSTANCES
@@ -95,14 +95,14 @@
         if self.scenario.fault != "deaths":
             return
         random = Random(self.scenario.seed)
-        at = WARMUP_SECONDS + DEATH_INTERVAL_SECONDS / 2
+        at = WARMUP_SECONDS + CRASH_INTERVAL_SECONDS / 2
         while at < WARMUP_SECONDS + HOUR_SECONDS:
-            victim = random.randrange(INSTANCES)
-            self.schedule(at, partial(self.replace_instance, simulation, victim))
-            at += DEATH_INTERVAL_SECONDS
+            index = random.randrange(INSTANCES)
+            self.schedule(at, partial(self.replace_instance, simulation, index))
+            at += CRASH_INTERVAL_SECONDS
 
     def replace_instance(self, simulation: Simulation, index: int) -> None:
-        """Replace a crashed instance by a new incarnation without state."""
+        """Simulate a crash: replace an instance by a new incarnation without state."""
         simulation.nodes[index] = Node(simulation, index)
 
     def count_stranded(self, simulation: Simulation) -> int:
--- a/packages/pondquay-lab/src/pondquay_lab/experiment/__init__.py
+++ b/packages/pondquay-lab/src/pondquay_lab/experiment/__init__.py
@@ -1,1 +1,1 @@
-"""Experiments that compare variants of the relay's policy over simulated days."""
+"""Experiments that compare variants of the system over simulated days."""
--- a/packages/pondquay-lab/src/pondquay_lab/experiment/__main__.py
+++ b/packages/pondquay-lab/src/pondquay_lab/experiment/__main__.py
@@ -26,7 +26,7 @@
     """Return the parser of the command's arguments."""
     parser = ArgumentParser(
         prog="python -m pondquay_lab.experiment",
-        description="Run days with variants of the policy and compare them in pairs.",
+        description="Run days with variants of the system and compare them in pairs.",
         epilog="docs/EXPERIMENTS.md shows a plan and its results",
     )
     parser.add_argument("plan", type=Path, metavar="PLAN.ini")
@@ -60,7 +60,7 @@
         return EXIT_FAILED
     table = format_table(compare(day_runs, [variant.name for variant in plan.variants]))
     (plan.output / "results.md").write_text(table)
-    write_csv(sorted(day_runs, key=lambda ended: ended.case), plan.output / "plays.csv")
+    write_csv(sorted(day_runs, key=lambda run: run.case), plan.output / "plays.csv")
     plot_worth(day_runs, plan.output / "worth.svg")
     plot_losses(day_runs, plan.output / "losses.svg")
     print(table, end="")
--- a/packages/pondquay-lab/src/pondquay_lab/load.py
+++ b/packages/pondquay-lab/src/pondquay_lab/load.py
@@ -128,7 +128,7 @@
         return 1000 * ordered[min(len(ordered) - 1, int(fraction * len(ordered)))]
 
 
-def report(name: str, load: Load) -> float:
+def run_load(name: str, load: Load) -> float:
     """Run a load, print its measurements, and return the requests per second."""
     rate = load.run()
     median, p95 = load.percentile(0.5), load.percentile(0.95)
@@ -152,18 +152,20 @@
         sleep(IDLE_SECONDS)
         print(f"idle: {describe_usage(started, take_sample(daemon))}")
         engine = fleet.upstreams[0].url
-        direct_rate = report("one engine, direct", Load(engine, {}, requests))
+        direct_rate = run_load("one engine, direct", Load(engine, {}, requests))
         headers = fleet.caller_headers(key)
         Load(daemon.caller_url, headers, CLIENTS * 4).run()
         before = take_sample(daemon)
-        routed_rate = report(
+        routed_rate = run_load(
             "through an instance", Load(daemon.caller_url, headers, requests)
         )
         after = take_sample(daemon)
         print(f"loaded: {describe_usage(before, after)}")
         request_milliseconds = 1000 * (after.cpu - before.cpu) / requests
-        print(f"processor time a request: {request_milliseconds:.2f} ms")
-        print(f"ratio of requests a second to direct: {routed_rate / direct_rate:.2f}")
+        print(f"processor time per request: {request_milliseconds:.2f} ms")
+        print(
+            f"ratio of requests per second to direct: {routed_rate / direct_rate:.2f}"
+        )
 
 
 def main() -> None:
