--- a/packages/pondquay-lab/src/pondquay_lab/experiment/plans.py
+++ b/packages/pondquay-lab/src/pondquay_lab/experiment/plans.py
@@ -22,7 +22,7 @@
     from pondquay.ini import IniDocument, IniSection
 
 VARIANT_PREFIX = "variant "
-REVISION = "revision"
+REVISION_KEY = "revision"
 
 
 class Variant(BaseModel):
@@ -111,6 +111,6 @@
 
 def _read_variant(section: IniSection) -> dict[str, object]:
     policy = dict(section.values)
-    revision = policy.pop(REVISION, "HEAD")
+    revision = policy.pop(REVISION_KEY, "HEAD")
     name = section.name.removeprefix(VARIANT_PREFIX)
     return {"name": name, "revision": revision, "policy": policy}
--- a/packages/pondquay-lab/src/pondquay_lab/experiment/results.py
+++ b/packages/pondquay-lab/src/pondquay_lab/experiment/results.py
@@ -60,7 +60,7 @@
 
 
 def compare_pairs(first: Sequence[float], second: Sequence[float]) -> Difference:
-    """Return the mean of second minus first values, with its confidence interval.
+    """Return the mean of the second minus the first values, and its interval.
 
     The interval is a bootstrap interval, since the values are few and not normally
     distributed.
--- a/packages/pondquay-lab/src/pondquay_lab/fuzz.py
+++ b/packages/pondquay-lab/src/pondquay_lab/fuzz.py
@@ -42,7 +42,7 @@
 
 
 class RoundError(Exception):
-    """The test runner could not run the property tests."""
+    """The property tests could not be run, or their counts could not be read."""
 
 
 def run_round(seed: int, jobs: int, paths: Sequence[str]) -> Round:
