--- a/packages/pondquay-standins/src/pondquay_standins/soak/deadly.py
+++ b/packages/pondquay-standins/src/pondquay_standins/soak/deadly.py
@@ -107,7 +107,7 @@
 
 def _is_linked(relay: Relay) -> bool:
     """Return whether a relay is linked to all other relays."""
-    return f"pondquay_peers {len(RELAYS) - 1}.0" in relay.report("/metrics")
+    return f"pondquay_peers {len(RELAYS) - 1}.0" in relay.fetch_report("/metrics")
 
 
 def _send_crashing(fleet: RoutedFleet) -> None:
@@ -116,7 +116,7 @@
     relays = cycle(RELAYS)
     while time.monotonic() < until:
         with suppress(OSError, HTTPException):
-            fleet.ask(fleet.relays[next(relays)], CRASHING_PATH)
+            fleet.send_request(fleet.relays[next(relays)], CRASHING_PATH)
         time.sleep(RETRY_DELAY_SECONDS)
 
 
@@ -126,7 +126,9 @@
     while not stopping.is_set():
         status = 0
         with suppress(OSError, HTTPException):
-            status = fleet.ask(fleet.relays[next(relays)], "/fetch/sound").status
+            status = fleet.send_request(
+                fleet.relays[next(relays)], "/fetch/sound"
+            ).status
         statuses.append(status)
 
 
--- a/packages/pondquay-standins/src/pondquay_standins/soak/finalchecks.py
+++ b/packages/pondquay-standins/src/pondquay_standins/soak/finalchecks.py
@@ -100,8 +100,8 @@
         """Send a streaming and a plain request to each relay."""
         fleet = self._fleet
         for relay in fleet.relays.values():
-            fleet.ask(relay, "/audit/", tokens=(PROMPT_TOKENS, 3), events=1)
-            fleet.ask(relay, "/fetch/")
+            fleet.send_request(relay, "/audit/", tokens=(PROMPT_TOKENS, 3), events=1)
+            fleet.send_request(relay, "/fetch/")
 
     def _list_runs_at_leaving(self) -> list[dict[str, Any]]:
         """Return the requests that ran at leaving replicas."""
@@ -110,7 +110,9 @@
 
     def _excludes_leaving(self, name: str) -> bool:
         """Return whether a relay's state dump lists no leaving replica as in use."""
-        upstreams = json.loads(self._fleet.relays[name].report("/dump"))["upstreams"]
+        upstreams = json.loads(self._fleet.relays[name].fetch_report("/dump"))[
+            "upstreams"
+        ]
         in_use = {
             upstream["upstream"] for upstream in upstreams if not upstream["left"]
         }
@@ -120,8 +122,8 @@
         """Return whether a relay has the newest configuration and serves a stream."""
         relay = self._fleet.relays[name]
         version_metric = f"pondquay_configuration_version {self._fleet.version}.0"
-        if version_metric not in relay.report("/metrics"):
+        if version_metric not in relay.fetch_report("/metrics"):
             return False
         tokens = (PROMPT_TOKENS, 2 * TOKENS_PER_EVENT)
-        response = self._fleet.ask(relay, "/audit/", tokens=tokens, events=2)
+        response = self._fleet.send_request(relay, "/audit/", tokens=tokens, events=2)
         return response.status == 200 and response.complete
--- a/packages/pondquay-standins/src/pondquay_standins/soak/fleet.py
+++ b/packages/pondquay-standins/src/pondquay_standins/soak/fleet.py
@@ -12,9 +12,9 @@
 
 from pondquay_standins.processes import HOST, call_http, pick_port, wait_until
 from pondquay_standins.routedfleet import (
+    DEFAULT_TIMEOUT_SECONDS,
     ENGINE_SERVICE,
     PLAIN_SERVICE,
-    USUAL_SECONDS,
     RoutedFleet,
     make_configuration,
 )
@@ -41,10 +41,10 @@
 RETRY_DELAY_SECONDS = 0.2
 # Request timeouts of the routes, as in the configuration.
 ROUTE_TIMEOUT_SECONDS = {
-    "audit": USUAL_SECONDS,
+    "audit": DEFAULT_TIMEOUT_SECONDS,
     "review": REVIEW_TIMEOUT_SECONDS,
-    "fetch": USUAL_SECONDS,
-    "write": USUAL_SECONDS,
+    "fetch": DEFAULT_TIMEOUT_SECONDS,
+    "write": DEFAULT_TIMEOUT_SECONDS,
 }
 # Values of rows in the table of upstreams that do not describe an upstream.
 MALFORMED_VALUES: tuple[Any, ...] = (
@@ -166,7 +166,7 @@
         relays = cycle(RELAYS)
         while time.monotonic() < until:
             with suppress(OSError, HTTPException):
-                self.ask(self.relays[next(relays)], path)
+                self.send_request(self.relays[next(relays)], path)
             time.sleep(RETRY_DELAY_SECONDS)
 
     def put_foreign_row(self) -> str:
