--- a/packages/pondquay-standins/src/pondquay_standins/demo.py
+++ b/packages/pondquay-standins/src/pondquay_standins/demo.py
@@ -92,7 +92,7 @@
     confirmed = fleet.run_cli("khuree", "--json", "confirm", plan["id"])
     expect(confirmed.returncode == 0, "pondquay confirm puts it in force")
     version = json.loads(confirmed.stdout)["version"]
-    seconds = fleet.wait_version(version, IN_FORCE_SECONDS)
+    seconds = fleet.wait_for_version(version, IN_FORCE_SECONDS)
     print(f"     version {version} was everywhere {seconds:.2f} s after the command")
     again = fleet.run_cli("khuree", "--json", "confirm", plan["id"])
     expect(json.loads(again.stdout)["version"] == version, "twice confirms once")
@@ -100,7 +100,7 @@
 
 def read_version(fleet: Fleet) -> int:
     """Return the version in force at the first instance."""
-    version: int = fleet.operate("khuree", "GET", "/status").json()["version"]
+    version: int = fleet.call_operator("khuree", "GET", "/status").json()["version"]
     return version
 
 
@@ -220,7 +220,7 @@
         within = row["billed"] <= row["granted"] <= row["limit"]
         expect(within, f"{line}, limit {row['limit']}")
     expect(True, f"billed in all: {expected} tokens, as upstreams ran them")
-    bill = fleet.operate("khuree", "GET", "/bills/captions").json()
+    bill = fleet.call_operator("khuree", "GET", "/bills/captions").json()
     expect(taken_over in bill["requests"], "the request that was taken over has a bill")
     attempts = bill["requests"][taken_over]["attempts"]
     expect(len(attempts) == 1, "and it has only one")
@@ -230,7 +230,7 @@
     """Return the budgets of all partners."""
     found: list[dict[str, Any]] = []
     for partner in fleet.operator_keys:
-        found += fleet.operate(partner, "GET", "/budgets").json()["budgets"]
+        found += fleet.call_operator(partner, "GET", "/budgets").json()["budgets"]
     return found
 
 
--- a/packages/pondquay-standins/src/pondquay_standins/routedfleet.py
+++ b/packages/pondquay-standins/src/pondquay_standins/routedfleet.py
@@ -27,7 +27,7 @@
 PLAIN_SERVICE = "board"
 STOP_SECONDS = 4
 # After which requests of most routes end.
-USUAL_SECONDS = 2
+DEFAULT_TIMEOUT_SECONDS = 2
 # What a relay logs of an exception that nothing was meant to raise.
 OWN_ERRORS = ("event=request-failed", "event=task-failed", "event=feed-failed")
 
@@ -50,14 +50,14 @@
         url = f"http://{HOST}:{self.ready_port}/api/readyz"
         return call_http("GET", url).status == 200
 
-    def report(self, path: str) -> str:
+    def fetch_report(self, path: str) -> str:
         """Return what it tells operators of itself."""
         url = f"http://{HOST}:{self.reports_port}{path}"
         return call_http("GET", url).body.decode()
 
 
 @dataclass(frozen=True, slots=True)
-class Answered:
+class RelayResponse:
     """What a caller got.
 
     :param complete: whether the answer came to its end
@@ -83,7 +83,7 @@
             "host": HOST_NAME,
             "path_prefix": f"/{name}/",
             "kind": kind,
-            "timeout_ms": USUAL_SECONDS * 1000,
+            "timeout_ms": DEFAULT_TIMEOUT_SECONDS * 1000,
             "slo_ms": 300,
             "service": service,
             "attempts": 2,
@@ -161,11 +161,11 @@
         :raises AssertionError: if a relay had an error of its own
         """
         with self._stack:
-            errors = self.list_own_errors()
+            errors = self.list_internal_errors()
         if errors and error is None:
             raise AssertionError(f"errors of relays' own: {errors}")
 
-    def list_own_errors(self) -> list[str]:
+    def list_internal_errors(self) -> list[str]:
         """Return the log lines that tell of exceptions in a relay's own code."""
         return [
             line
@@ -219,7 +219,7 @@
             wait_until(lambda: relay.ready, f"relay {name}")
         return relay
 
-    def ask(
+    def send_request(
         self,
         relay: Relay,
         path: str,
@@ -231,7 +231,7 @@
         attempt: str = "",
         deadline: float | None = None,
         headers: Mapping[str, str] | None = None,
-    ) -> Answered:
+    ) -> RelayResponse:
         """Send one request as a caller does.
 
         :param headers: that the caller sends besides
@@ -331,10 +331,10 @@
         return process
 
 
-def _read_response(connection: HTTPConnection) -> Answered:
+def _read_response(connection: HTTPConnection) -> RelayResponse:
     response = connection.getresponse()
     body, complete = read_body(response)
-    return Answered(response.status, dict(response.headers), body, complete)
+    return RelayResponse(response.status, dict(response.headers), body, complete)
 
 
 def read_body(response: HTTPResponse) -> tuple[bytes, bool]:
--- a/packages/pondquay-standins/src/pondquay_standins/soak/deadly.py
+++ b/packages/pondquay-standins/src/pondquay_standins/soak/deadly.py
@@ -105,7 +105,7 @@
 
 
 def _is_linked(relay: Relay) -> bool:
-    return f"pondquay_peers {len(RELAYS) - 1}.0" in relay.report("/metrics")
+    return f"pondquay_peers {len(RELAYS) - 1}.0" in relay.fetch_report("/metrics")
 
 
 def _send_again(fleet: RoutedFleet) -> None:
@@ -113,7 +113,7 @@
     relays = cycle(RELAYS)
     while time.monotonic() < until:
         with suppress(OSError, HTTPException):
-            fleet.ask(fleet.relays[next(relays)], PATH)
+            fleet.send_request(fleet.relays[next(relays)], PATH)
         time.sleep(RETRY_DELAY_SECONDS)
 
 
@@ -123,7 +123,9 @@
     while not ended.is_set():
         status = 0
         with suppress(OSError, HTTPException):
-            status = fleet.ask(fleet.relays[next(relays)], "/fetch/sound").status
+            status = fleet.send_request(
+                fleet.relays[next(relays)], "/fetch/sound"
+            ).status
         statuses.append(status)
 
 
--- a/packages/pondquay-standins/src/pondquay_standins/soak/finalchecks.py
+++ b/packages/pondquay-standins/src/pondquay_standins/soak/finalchecks.py
@@ -92,8 +92,8 @@
     def _ask_each_relay(self) -> None:
         fleet = self._fleet
         for relay in fleet.relays.values():
-            fleet.ask(relay, "/audit/", tokens=(PROMPT_TOKENS, 3), events=1)
-            fleet.ask(relay, "/fetch/")
+            fleet.send_request(relay, "/audit/", tokens=(PROMPT_TOKENS, 3), events=1)
+            fleet.send_request(relay, "/fetch/")
 
     def _list_runs_of_drained(self) -> list[dict[str, Any]]:
         drained = self._fleet.drained
@@ -101,15 +101,17 @@
 
     def _knows_drained(self, name: str) -> bool:
         """Tell whether a relay knows that the replicas that leave have left."""
-        upstreams = json.loads(self._fleet.relays[name].report("/dump"))["upstreams"]
+        upstreams = json.loads(self._fleet.relays[name].fetch_report("/dump"))[
+            "upstreams"
+        ]
         used = {one["upstream"] for one in upstreams if not one["left"]}
         return not used & self._fleet.drained
 
     def _is_healthy(self, name: str) -> bool:
         relay = self._fleet.relays[name]
         in_force = f"pondquay_configuration_version {self._fleet.version}.0"
-        if in_force not in relay.report("/metrics"):
+        if in_force not in relay.fetch_report("/metrics"):
             return False
         tokens = (PROMPT_TOKENS, 2 * EVENT_TOKENS)
-        response = self._fleet.ask(relay, "/audit/", tokens=tokens, events=2)
+        response = self._fleet.send_request(relay, "/audit/", tokens=tokens, events=2)
         return response.status == 200 and response.complete
--- a/packages/pondquay-standins/src/pondquay_standins/soak/fleet.py
+++ b/packages/pondquay-standins/src/pondquay_standins/soak/fleet.py
@@ -12,9 +12,9 @@
 
 from pondquay_standins.processes import HOST, call_http, pick_port, wait_until
 from pondquay_standins.routedfleet import (
+    DEFAULT_TIMEOUT_SECONDS,
     ENGINE_SERVICE,
     PLAIN_SERVICE,
-    USUAL_SECONDS,
     RoutedFleet,
     make_configuration,
 )
@@ -41,10 +41,10 @@
 RETRY_DELAY_SECONDS = 0.2
 # After which a request of each route ends, as the configuration says.
 ROUTE_SECONDS = {
-    "audit": USUAL_SECONDS,
+    "audit": DEFAULT_TIMEOUT_SECONDS,
     "review": REVIEW_SECONDS,
-    "fetch": USUAL_SECONDS,
-    "write": USUAL_SECONDS,
+    "fetch": DEFAULT_TIMEOUT_SECONDS,
+    "write": DEFAULT_TIMEOUT_SECONDS,
 }
 # What another writer may put into the list of upstreams.
 ODD_VALUES: tuple[Any, ...] = (
@@ -158,7 +158,7 @@
         relays = cycle(RELAYS)
         while time.monotonic() < until:
             with suppress(OSError, HTTPException):
-                self.ask(self.relays[next(relays)], path)
+                self.send_request(self.relays[next(relays)], path)
             time.sleep(RETRY_DELAY_SECONDS)
 
     def put_foreign_row(self) -> str:
--- a/packages/pondquay-standins/src/pondquay_standins/workspaces.py
+++ b/packages/pondquay-standins/src/pondquay_standins/workspaces.py
@@ -47,7 +47,7 @@
         if name == WORKSPACES[0][0]:
             entities += make_shared()
         version = fleet.configure(partner, *entities)
-        fleet.wait_version(version)
+        fleet.wait_for_version(version)
         described.append(
             {"name": name, "partner": partner, "key": key, "budget_tokens": tokens}
         )
