--- a/packages/pondquay-standins/src/pondquay_standins/fleetcommand.py
+++ b/packages/pondquay-standins/src/pondquay_standins/fleetcommand.py
@@ -1,6 +1,7 @@
-"""The command ``python -m pondquay_standins.fleetcommand``.
+"""Command that runs a fleet: ``python -m pondquay_standins.fleetcommand``.
 
-It starts a fleet, writes ``var/fleet.json`` and keeps the fleet up until interrupted.
+The command starts a fleet, writes its addresses and keys to ``var/fleet.json`` and
+keeps it up until it is interrupted.
 """
 
 from __future__ import annotations
@@ -14,18 +15,18 @@
 
 
 def main() -> None:
-    """Start a fleet and keep it up until interrupted."""
+    """Start a fleet and keep it up until the command is interrupted."""
     var = Path("var")
     var.mkdir(exist_ok=True)
     signal.signal(signal.SIGTERM, signal.default_int_handler)
     with Fleet() as fleet:
         content = fleet.describe(configure_workspaces(fleet))
         (var / "fleet.json").write_text(json.dumps(content, indent=2) + "\n")
-        print("the fleet is up; see var/fleet.json; interrupt to end it", flush=True)
+        print("the fleet is up, see var/fleet.json; interrupt to stop it", flush=True)
         try:
             signal.pause()
         except KeyboardInterrupt:
-            print("ending the fleet")
+            print("stopping the fleet")
 
 
 if __name__ == "__main__":
--- a/packages/pondquay-standins/src/pondquay_standins/fleetparts.py
+++ b/packages/pondquay-standins/src/pondquay_standins/fleetparts.py
@@ -1,4 +1,4 @@
-"""The processes of a fleet, with their addresses."""
+"""The daemons and upstreams of a fleet, with their processes and addresses."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(slots=True)
 class Daemon:
-    """One entry instance."""
+    """An entry instance and its endpoints."""
 
     name: str
     domain: str
@@ -24,7 +24,10 @@
     peer: str
 
     def metric(self, name: str) -> float:
-        """Return the value of a metric without labels."""
+        """Return the value of a metric without labels.
+
+        :raises KeyError: if there is no such metric
+        """
         text = call_http("GET", f"{self.metrics_url}/metrics").body.decode()
         for line in text.splitlines():
             if line.startswith(f"{name} "):
@@ -34,7 +37,7 @@
 
 @dataclass(slots=True)
 class UpstreamProcess:
-    """One engine or plain service."""
+    """A stand-in for an engine or a plain service."""
 
     name: str
     domain: str
@@ -45,5 +48,5 @@
 
 
 def is_up(url: str) -> bool:
-    """Tell whether a process answers."""
+    """Return whether a URL responds with status 200."""
     return call_http("GET", url).status == 200
--- a/packages/pondquay-standins/src/pondquay_standins/names.py
+++ b/packages/pondquay-standins/src/pondquay_standins/names.py
@@ -1,4 +1,4 @@
-"""Names and keys that the stand-ins and their users share."""
+"""Names and key digests shared by the stand-ins and their users."""
 
 from __future__ import annotations
 
@@ -9,5 +9,5 @@
 
 
 def digest(key: str) -> str:
-    """Return the digest by which a key is known."""
+    """Return the digest that identifies a key."""
     return "sha256:" + sha256(key.encode()).hexdigest()
--- a/packages/pondquay-standins/src/pondquay_standins/tables.py
+++ b/packages/pondquay-standins/src/pondquay_standins/tables.py
@@ -1,4 +1,4 @@
-"""The stand-in's table: rows with versions, and transactions of conditions."""
+"""In-memory table with versioned rows and conditional transactions."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 @dataclass(slots=True)
 class TableRow:
-    """A row with the number of its writes."""
+    """A row's value and version, which counts its writes."""
 
     version: int
     value: Any
@@ -16,7 +16,12 @@
 
 @dataclass(slots=True)
 class Table:
-    """All rows, in memory."""
+    """Versioned rows, with counts of the calls that used them.
+
+    :ivar transactions: transactions, including those whose conditions failed
+    :ivar row_writes: rows written or deleted
+    :ivar reads: calls of :meth:`read`
+    """
 
     rows: dict[str, TableRow] = field(default_factory=dict)
     transactions: int = 0
@@ -24,7 +29,7 @@
     reads: int = 0
 
     def read(self, keys: list[str], prefixes: list[str]) -> list[dict[str, Any]]:
-        """Return the rows of some keys and below some prefixes."""
+        """Return the rows with the given keys or key prefixes, sorted by key."""
         self.reads += 1
         found = {key for key in keys if key in self.rows}
         for prefix in prefixes:
@@ -41,7 +46,12 @@
     def transact(
         self, conditions: list[dict[str, Any]], writes: list[dict[str, Any]]
     ) -> bool:
-        """Carry out all writes if all conditions hold."""
+        """Apply all writes if all conditions hold.
+
+        A write without a value deletes the row.
+
+        :returns: whether the writes were applied
+        """
         self.transactions += 1
         for condition in conditions:
             row = self.rows.get(condition["key"])
--- a/packages/pondquay-standins/src/pondquay_standins/web.py
+++ b/packages/pondquay-standins/src/pondquay_standins/web.py
@@ -1,4 +1,4 @@
-"""What the stand-ins share: JSON over HTTP and a main function."""
+"""Helpers that the stand-ins share: JSON over HTTP and a server."""
 
 from __future__ import annotations
 
@@ -18,21 +18,21 @@
 
 
 def read_body(request: Request) -> Any:
-    """Return the JSON body of a request, an empty object if there is none."""
+    """Return the JSON body of a request, or an empty object if it has none."""
     assert request.content is not None
     request.content.seek(0)
     return json.loads(request.content.read() or b"{}")
 
 
 def write_body(request: Request, content: object, status: int = 200) -> bytes:
-    """Return a JSON answer."""
+    """Set status and content type, and return a JSON body."""
     request.setResponseCode(status)
     request.setHeader("Content-Type", "application/json")
     return json.dumps(content).encode()
 
 
 def drop_connection(request: Request) -> Deferred[bytes]:
-    """Break a connection without an answer."""
+    """Abort a connection without a response."""
     transport: Any = request.transport
     if transport is not None:
         transport.abortConnection()
@@ -47,7 +47,7 @@
 
 
 def serve(app: Klein, port: int) -> None:
-    """Serve an application on the loopback address until the process is ended."""
+    """Serve an application on the loopback address until the process ends."""
     site = Site(app.resource())
     site.noisy = False
     TCP4ServerEndpoint(reactor, port, interface="127.0.0.1").listen(site)
--- a/packages/pondquay-standins/src/pondquay_standins/workspaces.py
+++ b/packages/pondquay-standins/src/pondquay_standins/workspaces.py
@@ -1,4 +1,4 @@
-"""The workspaces of a fleet, and the configuration that makes them."""
+"""The usual workspaces of a fleet and their configuration."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 if TYPE_CHECKING:
     from pondquay_standins.fleet import Fleet
 
-AMPLE_TOKENS = 2_000_000
-SMALL_TOKENS = 40
+LARGE_BUDGET_TOKENS = 2_000_000
+SMALL_BUDGET_TOKENS = 40
 
 
 def make_workspace(name: str, key: str, tokens: int) -> list[dict[str, Any]]:
-    """Return the entities of a workspace with its budget."""
+    """Return the entities of a workspace and its budget."""
     return [
         {"kind": "workspace", "name": name, "key_digest": digest(key)},
         {"kind": "budget", "name": name, "tokens": tokens},
     ]
 
 
-def make_shared() -> list[dict[str, Any]]:
+def make_shared_entities() -> list[dict[str, Any]]:
     """Return the entities of the model and the service that all workspaces use."""
     return [
         {"kind": "model", "name": MODEL, "output_limit": 512, "versions": {"v1": 100}},
@@ -31,10 +31,10 @@
 
 
 WORKSPACES = (
-    ("captions", "khuree", AMPLE_TOKENS),
-    ("verification", "khuree", AMPLE_TOKENS),
-    ("rosters", "lima", AMPLE_TOKENS),
-    ("trial", "lima", SMALL_TOKENS),
+    ("captions", "khuree", LARGE_BUDGET_TOKENS),
+    ("verification", "khuree", LARGE_BUDGET_TOKENS),
+    ("rosters", "lima", LARGE_BUDGET_TOKENS),
+    ("trial", "lima", SMALL_BUDGET_TOKENS),
 )
 
 
@@ -45,7 +45,7 @@
         key = f"sk-{name}-{token_hex(8)}"
         entities = make_workspace(name, key, tokens)
         if name == WORKSPACES[0][0]:
-            entities += make_shared()
+            entities += make_shared_entities()
         version = fleet.configure(partner, *entities)
         fleet.wait_for_version(version)
         described.append(
