--- a/packages/pondquay-standins/src/pondquay_standins/demo.py
+++ b/packages/pondquay-standins/src/pondquay_standins/demo.py
@@ -96,7 +96,9 @@
     expect(confirmed.returncode == 0, "pondquay confirm puts the plan into effect")
     version = json.loads(confirmed.stdout)["version"]
     seconds = fleet.wait_for_version(version, MAX_ACTIVATION_SECONDS)
-    print(f"     version {version} is active everywhere {seconds:.2f} s after that")
+    print(
+        f"     version {version} is active everywhere {seconds:.2f} s after the command"
+    )
     again = fleet.run_cli("khuree", "--json", "confirm", plan["id"])
     expect(
         json.loads(again.stdout)["version"] == version,
@@ -191,7 +193,7 @@
     expect(second_events[-1] == "[DONE]", "the retry receives the complete response")
     expect(
         join_text(second_events).startswith(join_text(first_events)),
-        "which begins with the pieces received before",
+        "it begins with the pieces received before the failure",
     )
     ran = count_runs(fleet) - ran_before
     expect(ran == 1, "the engines ran the request once")
