--- a/packages/pondquay-standins/src/pondquay_standins/rowstore.py
+++ b/packages/pondquay-standins/src/pondquay_standins/rowstore.py
@@ -48,7 +48,7 @@
 
 @dataclass(slots=True)
 class StoredRow:
-    """A stored row, with the table version of its last write."""
+    """A stored row, with the store's version at its last write."""
 
     table: str
     part: str
