--- a/packages/pondquay-cli/src/pondquay_cli/commands/plan.py
+++ b/packages/pondquay-cli/src/pondquay_cli/commands/plan.py
@@ -44,7 +44,7 @@
         except InvalidInputError as error:
             raise InvalidUsageError(str(error)) from error
         body = {
-            "wanted": [one.model_dump(mode="json") for one in intent.wanted],
+            "wanted": [one.model_dump(mode="json") for one in intent.entities],
             "removed": list(intent.removed),
         }
         plan = await client.post("/plans", body)
--- a/packages/pondquay-daemon/src/pondquay_daemon/__main__.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/__main__.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING, Any
 
 from pondquay.errors import InvalidInputError
-from pondquay_daemon.clocks import use_steady_clock
+from pondquay_daemon.clocks import use_monotonic_clock
 from pondquay_daemon.logs import Level, log_event, start_logs
 from pondquay_daemon.tasks import spawn
 
@@ -116,7 +116,7 @@
 
     from pondquay_daemon.application import Application
 
-    use_steady_clock(reactor)
+    use_monotonic_clock(reactor)
     application = Application(reactor, settings)
     status = [EXIT_FAILED]
     anyreactor: Any = reactor
--- a/packages/pondquay-daemon/src/pondquay_daemon/clocks.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/clocks.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 
-def use_steady_clock(reactor: Any) -> None:
+def use_monotonic_clock(reactor: Any) -> None:
     """Have a reactor go by the steady clock that counts suspension.
 
     Its own is the time of day, which may jump. The usual steady clock stands still
--- a/packages/pondquay-daemon/src/pondquay_daemon/completionruns.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/completionruns.py
@@ -4,8 +4,8 @@
 
 from typing import TYPE_CHECKING, Any
 
-from pondquay.routing.admission import ORDER
-from pondquay.routing.policies import Work
+from pondquay.routing.admission import PRIORITY_ORDER
+from pondquay.routing.policies import RequestProfile
 from pondquay.routing.upstreams import ENGINE
 from pondquay.streams import Frame, Response, Verdict
 from pondquay_daemon.calls import CachedResponse, Delivered, Refusal
@@ -58,8 +58,8 @@
     ) -> Delivered | Refusal:
         """Run a completion to its end."""
         while True:
-            rank = ORDER.index(call.priority)
-            work = Work(call.reserve, call.prefix, rank)
+            rank = PRIORITY_ORDER.index(call.priority)
+            work = RequestProfile(call.reserve, call.prefix, rank)
             wish = Wish(
                 call.request,
                 ENGINE,
@@ -76,7 +76,7 @@
                 await self._run_stream(progress, call, started, response, sink)
             finally:
                 self._attempts.release(started)
-            if response.whole:
+            if response.complete:
                 return await self._finish(progress, call, started, response, sink)
             if response.frames or not self._attempts.may_try_again(progress):
                 return refuse_unfinished(progress)
@@ -102,42 +102,44 @@
             started.attempt.boot,
         )
 
-        def take(frame: Frame) -> None:
-            verdict = response.take(frame)
+        def add_frame(frame: Frame) -> None:
+            verdict = response.add_frame(frame)
             pieces.append(self._clock.seconds())
             if verdict is not Verdict.PASS_ON:
                 self._metrics.dropped_frames.labels(verdict.value).inc()
             elif not frame.finish:
                 sink.pass_on(frame)
 
-        progress.life.dispatch()
+        progress.lifecycle.dispatch()
         stream = started.attempt.stream
         try:
-            await self._engines.start(upstream.url, stream, completion, take)
+            await self._engines.start(upstream.url, stream, completion, add_frame)
         except (NotSentError, RefusedError) as error:
             await self._attempts.give_up_unstarted(progress, started, error)
             return
         except MayHaveRunError as error:
             self._attempts.log_failure(call, started, error)
-        if not response.whole:
-            await self._resume(started, response, take)
-        if response.whole:
+        if not response.complete:
+            await self._resume(started, response, add_frame)
+        if response.complete:
             upstream.circuit.succeed()
             if len(pieces) > 1:
                 upstream.observe_pace((pieces[-1] - pieces[0]) / (len(pieces) - 1))
-            progress.life.finish()
+            progress.lifecycle.finish()
             return
         await self._give_up_started(progress, started)
 
-    async def _resume(self, started: Started, response: Response, take: Any) -> None:
+    async def _resume(
+        self, started: Started, response: Response, add_frame: Any
+    ) -> None:
         """Fetch what is missing of an answer from the engine that has it."""
         url = started.placement.upstream.url
         failures = 0
-        while failures < MAX_RESUMES and not response.whole:
+        while failures < MAX_RESUMES and not response.complete:
             await sleep(RESUME_PAUSE_SECONDS * failures, self._clock)
             before = response.next_offset
             try:
-                await self._engines.resume(url, response.stream, before, take)
+                await self._engines.resume(url, response.stream, before, add_frame)
                 self._metrics.resumes.inc()
             except RefusedError:
                 return
@@ -153,9 +155,9 @@
         response = await self._engines.cancel(upstream.url, started.attempt.stream)
         status = response.seen_from(started.attempt.boot)
         if status.state is StreamState.CANCELLED and not status.started:
-            progress.life.refuse()
+            progress.lifecycle.mark_not_run()
         else:
-            progress.life.lose()
+            progress.lifecycle.mark_unknown()
         if status.state is StreamState.CANCELLED:
             await self._grants.settle(started.attempt, None)
         elif status.state is StreamState.FINISHED:
--- a/packages/pondquay-daemon/src/pondquay_daemon/endpoints/operators.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/endpoints/operators.py
@@ -28,7 +28,7 @@
 )
 from pondquay.errors import InvalidInputError
 from pondquay.membership.drains import store_drain
-from pondquay.tables import Lost, Unreachable, read_rows
+from pondquay.tables import OutcomeUnknown, Unreachable, read_rows
 from pondquay_daemon.endpoints.dumps import dump_state
 from pondquay_daemon.endpoints.responses import (
     BAD_REQUEST,
@@ -164,7 +164,7 @@
             return write_error(request, NOT_FOUND, "plan_not_found", plan_id)
         concerned = {plan.partner}
         for change in plan.changes:
-            concerned |= change.consenting()
+            concerned |= change.required_consents()
         if partner not in concerned:
             return write_error(
                 request, FORBIDDEN, "not_concerned", "this plan is not yours to confirm"
@@ -224,7 +224,7 @@
         ):
             return _write_unreachable(request)
         budgets = []
-        for row in rows.starting(BUDGET_PREFIX):
+        for row in rows.list_with_prefix(BUDGET_PREFIX):
             workspace = row.key.removeprefix(BUDGET_PREFIX)
             budget = load_budget(row)
             if budget is None or not self._owns(partner, workspace):
@@ -330,8 +330,12 @@
                 request, {"state": "confirmed", "plan": plan.id, "version": version}
             )
         case AwaitingConsent(plan):
-            missing = sorted(plan.missing())
-            content = {"state": "awaiting-consent", "plan": plan.id, "missing": missing}
+            missing_consents = sorted(plan.missing_consents())
+            content = {
+                "state": "awaiting-consent",
+                "plan": plan.id,
+                "missing": missing_consents,
+            }
             return write_json(request, content, ACCEPTED)
         case PlanOutdated(plan, head, subject):
             return write_error(
@@ -355,5 +359,5 @@
             )
         case PlanUnknown():
             return write_error(request, NOT_FOUND, "plan_not_found", "no such plan")
-        case Unreachable() | Lost():
+        case Unreachable() | OutcomeUnknown():
             return _write_unreachable(request)
--- a/packages/pondquay-daemon/src/pondquay_daemon/grants.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/grants.py
@@ -11,7 +11,7 @@
 
 from pondquay.budgets.holder import Holder
 from pondquay.budgets.holdings import Attempt, AttemptState
-from pondquay.budgets.manager import MAX_ADJUSTMENTS, GrantManager, Refill
+from pondquay.budgets.manager import MAX_ADJUSTMENTS, GrantManager, RefillResult
 from pondquay.budgets.messages import (
     Acknowledge,
     Recall,
@@ -27,7 +27,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
 
-    from pondquay.budgets.closer import Progress
+    from pondquay.budgets.closer import MaintenanceResult
     from pondquay.budgets.messages import HolderMessage, WitnessMessage
     from pondquay.names import AttemptId, InstanceId, RequestName
     from pondquay_daemon.peers import PeerTask
@@ -60,7 +60,7 @@
     """A request that waits for tokens."""
 
     tokens: int
-    fired: Deferred[Refill] = field(default_factory=Deferred)
+    fired: Deferred[RefillResult] = field(default_factory=Deferred)
 
 
 class GrantTask(Task):
@@ -125,15 +125,15 @@
                     self._want(request.workspace, tokens),
                     REFILL_SECONDS,
                     self.clock,
-                    Refill.UNREACHABLE,
+                    RefillResult.UNREACHABLE,
                 )
-                if refill is Refill.EXHAUSTED and not recalled:
+                if refill is RefillResult.EXHAUSTED and not recalled:
                     recalled = True
                     await self._recall(request.workspace, tokens)
                     continue
-                if refill is Refill.EXHAUSTED:
+                if refill is RefillResult.EXHAUSTED:
                     return Failure(BudgetRefusal.EXHAUSTED)
-                if refill is Refill.UNREACHABLE:
+                if refill is RefillResult.UNREACHABLE:
                     return Failure(BudgetRefusal.UNREACHABLE)
                 continue
             if attempt.state is AttemptState.ACKNOWLEDGED:
@@ -168,7 +168,7 @@
 
     # Refilling
 
-    def _want(self, workspace: str, tokens: int) -> Deferred[Refill]:
+    def _want(self, workspace: str, tokens: int) -> Deferred[RefillResult]:
         """Ask for tokens; fires with what came of it."""
         waiter = _Waiter(tokens)
         self._waiters.setdefault(workspace, []).append(waiter)
@@ -208,7 +208,7 @@
             results = await self._platform.run(self.manager.refill(wanted))
         for workspace, waiters in waiting.items():
             for waiter in waiters:
-                waiter.fired.callback(results.get(workspace, Refill.UNREACHABLE))
+                waiter.fired.callback(results.get(workspace, RefillResult.UNREACHABLE))
 
     # Settling
 
@@ -294,7 +294,7 @@
 
     def link_opened(self, peer: InstanceId) -> None:
         """Send a witness again what it has not answered."""
-        self.holder.forget_connection(peer)
+        self.holder.requeue_unconfirmed(peer)
         self._pump_soon()
 
     # Maintenance and stopping
@@ -306,8 +306,8 @@
             maintain = self.manager.maintain(rebalance=not self._stopping)
             self._take_progress(await self._platform.run(maintain))
 
-    def _take_progress(self, progress: Progress) -> None:
-        self._mark_safe(progress.safe)
+    def _take_progress(self, progress: MaintenanceResult) -> None:
+        self._mark_safe(progress.recorded)
         self._fire_acknowledged(progress.refused, False)
         for witness, forget in progress.notices:
             self._peers.send(witness, forget)
--- a/packages/pondquay-daemon/src/pondquay_daemon/logbudget.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/logbudget.py
@@ -27,7 +27,7 @@
         self._kinds: Counter[str] = Counter()
         self._all: Counter[bool] = Counter()
         self._left_out: Counter[str] = Counter()
-        self.total_left_out: Counter[str] = Counter()
+        self.total_suppressed: Counter[str] = Counter()
 
     def take(self, event: str, now: float, *, failure: bool) -> bool:
         """Tell whether a line may be written.
@@ -51,7 +51,7 @@
     def leave_out(self, event: str) -> None:
         """Count a line that is not written."""
         self._left_out[event] += 1
-        self.total_left_out[event] += 1
+        self.total_suppressed[event] += 1
 
     def take_left_out(self, now: float) -> dict[str, int]:
         """Return what earlier seconds left out, by kind, once."""
--- a/packages/pondquay-daemon/src/pondquay_daemon/peers.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/peers.py
@@ -139,7 +139,7 @@
             return False
         return self.table.is_usable(peer, self.now())
 
-    def is_gone(self, peer: InstanceId) -> bool:
+    def is_presumed_dead(self, peer: InstanceId) -> bool:
         """Tell whether a peer has been silent for so long that others replace it."""
         known = self.table.known.get(peer)
         return known is None or peer in self.table.suspects(self.now())
@@ -199,7 +199,7 @@
     def link_closed(self, peer: InstanceId) -> None:
         """Note that a peer cannot be reached."""
         log_event("peer-disconnected", peer=peer)
-        self.table.disconnect(peer)
+        self.table.note_disconnected(peer)
         for number, question in list(self._questions.items()):
             if question.peer == peer:
                 del self._questions[number]
--- a/packages/pondquay-daemon/src/pondquay_daemon/platform.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/platform.py
@@ -26,7 +26,7 @@
     Committed,
     Condition,
     Conflict,
-    Lost,
+    OutcomeUnknown,
     Read,
     Row,
     Rows,
@@ -158,13 +158,13 @@
             return Unreachable()
         except (*NETWORK_ERRORS, ValueError) as error:
             self._note_reachable(False, error)
-            return Lost()
+            return OutcomeUnknown()
         self._note_reachable(True)
         if status == OK:
             return Committed()
         if status == CONFLICT:
             return Conflict()
-        return Unreachable() if status == TOO_MANY else Lost()
+        return Unreachable() if status == TOO_MANY else OutcomeUnknown()
 
     async def list_instances(self) -> list[ListedInstance] | None:
         """Return the platform's lagging list, ``None`` if it cannot be had."""
--- a/packages/pondquay-daemon/src/pondquay_daemon/progress.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/progress.py
@@ -27,7 +27,7 @@
     """
 
     call: Call
-    life: RequestLifecycle
+    lifecycle: RequestLifecycle
     nonce: str = ""
     failed: set[str] = field(default_factory=set)
     attempts: int = 0
@@ -36,7 +36,7 @@
         self, code: RefusalCode, message: str, retry_after: int | None = None
     ) -> Refusal:
         """Return a refusal that says what is known of the request."""
-        return Refusal(code, message, self.life.outcome(), retry_after)
+        return Refusal(code, message, self.lifecycle.outcome(), retry_after)
 
 
 @dataclass(slots=True)
@@ -62,7 +62,7 @@
 
 def refuse_unfinished(progress: Progress) -> Refusal:
     """Return the refusal of a request whose attempts all failed."""
-    if progress.life.outcome() is Outcome.NOT_RUN:
+    if progress.lifecycle.outcome() is Outcome.NOT_RUN:
         return progress.refusal(
             RefusalCode.UPSTREAM_FAILED, "no upstream took the request", RETRY_SECONDS
         )
--- a/packages/pondquay-daemon/src/pondquay_daemon/ratelimits.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/ratelimits.py
@@ -12,7 +12,7 @@
 RATE_FORM = re.compile(rb"[0-9]{1,15}(\.[0-9]{0,15})?|\.[0-9]{1,15}")
 
 
-def read_limit(values: Iterable[bytes]) -> float | None:
+def read_rate_limit(values: Iterable[bytes]) -> float | None:
     """Return the lowest of the limits that stand in an answer, in requests a second.
 
     :returns: ``None`` if there is none, or none that is a decimal number
--- a/packages/pondquay-daemon/src/pondquay_daemon/recovery.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/recovery.py
@@ -34,7 +34,7 @@
 
 if TYPE_CHECKING:
     from pondquay.budgets.holdings import Attempt
-    from pondquay.budgets.programs import StandingGrant
+    from pondquay.budgets.programs import StoredGrant
     from pondquay.budgets.witness import Witness, WitnessedGrant
     from pondquay.membership.messages import FindRequest, FoundRequest
     from pondquay.names import GrantId, InstanceId
@@ -157,7 +157,7 @@
             if now - self._searched.get(holder, -SEARCH_SECONDS) < SEARCH_SECONDS:
                 continue
             self._searched[holder] = now
-            await self._platform.run(self.succession.seal_unheard(holder))
+            await self._platform.run(self.succession.seal_unknown_grants(holder))
 
     async def _ask_open(self, grant: WitnessedGrant) -> None:
         """Ask engines what became of attempts whose holder is dead."""
@@ -199,10 +199,14 @@
         for standing in grants:
             sealed = standing.row.state is GrantState.SEALED
             holder = standing.grant.holder
-            if sealed and holder != self._instance and self._peers.is_gone(holder):
+            if (
+                sealed
+                and holder != self._instance
+                and self._peers.is_presumed_dead(holder)
+            ):
                 await self._resolve_orphan(standing)
 
-    async def _resolve_orphan(self, standing: StandingGrant) -> None:
+    async def _resolve_orphan(self, standing: StoredGrant) -> None:
         resolutions = []
         bills = []
         for number, held in standing.row.held.items():
@@ -262,7 +266,7 @@
             return None
         response = Response(found.stream)
         await self._replay(upstream.url, response, sink)
-        if not response.whole:
+        if not response.complete:
             if not response.frames and call.repeatable:
                 return None
             return Refusal(
@@ -300,19 +304,19 @@
         return None
 
     async def _replay(self, url: str, response: Response, sink: FrameSink) -> None:
-        def take(frame: Frame) -> None:
-            response.take(frame)
+        def add_frame(frame: Frame) -> None:
+            response.add_frame(frame)
             if response.frames and response.frames[-1] is frame and not frame.finish:
                 sink.pass_on(frame)
 
         for _ in range(MAX_RESUMES):
             try:
                 await self._engines.resume(
-                    url, response.stream, response.next_offset, take
+                    url, response.stream, response.next_offset, add_frame
                 )
             except (RefusedError, MayHaveRunError):
                 return
-            if response.whole:
+            if response.complete:
                 return
 
     async def _report_end(
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/accounts.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/accounts.py
@@ -6,7 +6,7 @@
 
 from twisted.internet.defer import Deferred, gatherResults
 
-from pondquay.budgets.accounts import Account, Refused
+from pondquay.budgets.accounts import Account, RefusalReason
 from pondquay.budgets.allotments import AllotmentRow
 from pondquay.budgets.headroom import plan_headroom, request_tokens
 from pondquay.errors import MalformedRowError
@@ -32,12 +32,12 @@
 
 ADJUST_SECONDS = 0.5
 # On its first start a fleet learns who belongs to it, before anyone holds anything.
-SETTLE_SECONDS = 1.5
+STARTUP_SECONDS = 1.5
 # Waits for tokens to come from the table, in turn, before a request is refused.
 OBTAIN_WAITS = (0.02, 0.04, 0.08)
 # Seconds after which a caller that was refused should come back while the table is out
 # of reach: an outage lasts.
-AFTER_OUTAGE = 2.0
+OUTAGE_RETRY_SECONDS = 2.0
 RETURN_UNSPENT_ATTEMPTS = 4
 # As often as the others of ten lenders may come first, where all write a row at once.
 WRITE_ATTEMPTS = 10
@@ -83,11 +83,11 @@
 
     def start(self) -> None:
         """Begin to adjust the allotments."""
-        self._settled_at = self.clock.seconds() + SETTLE_SECONDS
+        self._settled_at = self.clock.seconds() + STARTUP_SECONDS
         self._loans.settle_until(self._settled_at)
         self.repeat(ADJUST_SECONDS, self._adjust_all)
 
-    def take_table(self, table: RouteTable) -> None:
+    def apply_table(self, table: RouteTable) -> None:
         """Take in what each workspace has prepaid."""
         for workspace in table.configuration.workspaces:
             if workspace.prepaid is None:
@@ -102,11 +102,11 @@
             account.prepaid = workspace.prepaid
             self._adjust_soon(workspace.name)
 
-    def take_snapshot(self, snapshot: Snapshot) -> None:
+    def apply_snapshot(self, snapshot: Snapshot) -> None:
         """Learn that changes may have been missed; rows are read when needed."""
         self._unread = set(self._accounts)
 
-    def take_change(self, change: RowChange) -> None:
+    def apply_change(self, change: RowChange) -> None:
         """Take in one row of the table."""
         if change.value is not None:
             self._take_row(change.key, change.value, change.version)
@@ -120,20 +120,20 @@
         return {name: one.describe() for name, one in self._accounts.items()}
 
     async def obtain(
-        self, request: str, workspace: str, tokens: int, patience: float
-    ) -> Refused | None:
+        self, request: str, workspace: str, tokens: int, max_wait_seconds: float
+    ) -> RefusalReason | None:
         """Reserve tokens, asking the table for more if need be.
 
         :param request: who asks, for the logs
-        :param patience: the most seconds that this may take
+        :param max_wait_seconds: the most seconds that this may take
         :returns: why not, ``None`` if they are reserved
         """
         account = self._accounts[workspace]
         account.demand.note(tokens, self.clock.seconds())
         refused = account.reserve(tokens)
-        until = self.clock.seconds() + patience
+        until = self.clock.seconds() + max_wait_seconds
         for wait in OBTAIN_WAITS if self._loans.lends(workspace) else ():
-            if refused in (None, Refused.EXHAUSTED) or not self._reachable():
+            if refused in (None, RefusalReason.EXHAUSTED) or not self._reachable():
                 break
             if self.clock.seconds() + wait > until:
                 break
@@ -141,25 +141,25 @@
             self._adjust_soon(workspace)
             await sleep(wait, self.clock)
             refused = account.reserve(tokens)
-        account.wanted = 0
+        account.requested = 0
         if refused is not None:
             refused = await self._loans.borrow(account, workspace, tokens)
-        if refused is Refused.ELSEWHERE and not self._reachable():
-            refused = Refused.OUT_OF_REACH
+        if refused is RefusalReason.ELSEWHERE and not self._reachable():
+            refused = RefusalReason.OUT_OF_REACH
         self._log_obtained(request, workspace, account, tokens, refused)
         self._adjust_soon(workspace)
         return refused
 
-    def come_back_after(self, refused: Refused) -> float:
+    def retry_after_seconds(self, refused: RefusalReason) -> float:
         """Return the seconds after which a refused caller should ask again.
 
         An instance that knows nothing yet of a budget has just started, perhaps with
         all others: until links stand, nobody lends.
         """
         soon = self._policy.come_back_seconds
-        if refused is Refused.OUT_OF_REACH:
-            return AFTER_OUTAGE
-        if refused is Refused.UNKNOWN:
+        if refused is RefusalReason.OUT_OF_REACH:
+            return OUTAGE_RETRY_SECONDS
+        if refused is RefusalReason.UNKNOWN:
             return max(soon, self._settled_at - self.clock.seconds())
         return soon
 
@@ -169,7 +169,7 @@
         workspace: str,
         account: Account,
         tokens: int,
-        refused: Refused | None,
+        refused: RefusalReason | None,
     ) -> None:
         """Tell what decided whether a request got its tokens."""
         if refused is not None:
@@ -185,25 +185,25 @@
             ceiling=account.ceiling,
             reserved=account.reserved,
             free=account.free(),
-            left=account.left(),
+            left=account.remaining(),
             row=account.version or ABSENT,
             store="up" if self._reachable() else "away",
         )
 
-    def lend(self, workspace: str, tokens: int, ahead: int) -> int:
+    def lend(self, workspace: str, tokens: int, headroom: int) -> int:
         """Hand tokens to a peer that has none; return how many.
 
-        :param ahead: tokens that are wanted besides, 0 from those with an allotment
+        :param headroom: tokens that are wanted besides, 0 from those with an allotment
         """
         account = self._accounts.get(workspace)
         if account is None or self._closed:
             return 0
         if account.unspent < tokens:
             request_tokens(account, tokens)
-            if ahead:
+            if headroom:
                 self._refill_soon(workspace, account, tokens)
-        lent = account.lend_headroom(tokens, ahead)
-        if ahead:
+        lent = account.lend_headroom(tokens, headroom)
+        if headroom:
             # The borrower's demand is met from here and shows nowhere else.
             account.demand.note_lent(max(tokens, lent), self.clock.seconds())
         if lent:
@@ -242,9 +242,9 @@
         finally:
             self._refilling.discard(workspace)
 
-    def partners(self) -> frozenset[str]:
+    def co_lenders(self) -> frozenset[str]:
         """Return the instances that lend for the same workspaces as this one."""
-        return self._loans.partners(self._accounts)
+        return self._loans.co_lenders(self._accounts)
 
     def receive_loan(
         self, workspace: str, tokens: int, *, returned: bool = False
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/admission.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/admission.py
@@ -88,4 +88,4 @@
     """Give a caller an answer of the relay's own."""
     headers = border.write_refusal(attempt, refusal.retry_after)
     body = f"{refusal.reason}\n".encode()
-    response.send_whole(refusal.status, headers, body)
+    response.send_complete(refusal.status, headers, body)
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/allotmentrows.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/allotmentrows.py
@@ -61,7 +61,7 @@
         if headroom is None:
             return True
         change = account.propose(headroom, now)
-        account.begin(change)
+        account.begin_write(change)
         transaction = make_transaction(name, account.version or ABSENT, change.row)
         reply = await self._store.commit(transaction)
         if isinstance(reply, Conflict):
@@ -78,8 +78,8 @@
             await self._pause(name)
             return True
         del self._failures[name]
-        account.confirm(change, reply.version)
-        account.wanted = 0
+        account.confirm_write(change, reply.version)
+        account.requested = 0
         log_event(
             "allotment-written",
             workspace=name,
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/attempts.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/attempts.py
@@ -205,7 +205,7 @@
         sent = self._exchange is not None and self._exchange.sent
         self._end(Stopped(sent), cancel=True)
 
-    def answered(self, head: ResponseHead) -> None:
+    def on_head(self, head: ResponseHead) -> None:
         """Judge the head of the answer."""
         self._touch()
         metadata = self._border.read_response(head)
@@ -224,7 +224,7 @@
         self._head = head
         self._streaming = self._progress is not None and head.status in SUCCESS
 
-    def received(self, data: bytes) -> None:
+    def on_body(self, data: bytes) -> None:
         """Pass whole events on, or keep a piece of a plain answer."""
         self._touch()
         if not self._streaming:
@@ -248,7 +248,7 @@
                 self._first_event = now
             self._pass_on(whole, progress)
 
-    def ended(self) -> None:
+    def on_end(self) -> None:
         """Learn that the answer is whole."""
         if self._not_run is not None:
             self._end(self._not_run)
@@ -267,7 +267,7 @@
             self._pass_on(b"", progress)
         self._end(Streamed(progress.reader.count))
 
-    def broke(self, error: BrokenExchangeError) -> None:
+    def on_error(self, error: BrokenExchangeError) -> None:
         """Learn that no whole answer will come."""
         if not error.sent:
             self._end(Unsent(str(error), error.refused))
@@ -336,6 +336,6 @@
         if cancel and self._exchange is not None:
             self._exchange.cancel()
         if self._progress is not None:
-            self._progress.reader.break_off()
+            self._progress.reader.discard_partial()
         if not self._result.called:
             self._result.callback(outcome)
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/command.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/command.py
@@ -11,7 +11,7 @@
 
 from pondquay.addresses import Address
 from pondquay.errors import InvalidInputError
-from pondquay_daemon.clocks import use_steady_clock
+from pondquay_daemon.clocks import use_monotonic_clock
 from pondquay_daemon.logs import Level, log_event, start_logs
 from pondquay_daemon.relay.border import BORDERS
 from pondquay_daemon.relay.policyfile import load_policy
@@ -70,8 +70,8 @@
     from pondquay_daemon.relay.relay import Relay
 
     anyreactor: Any = reactor
-    use_steady_clock(anyreactor)
-    relay = Relay(reactor, border, settings, RelayMetrics(budget.total_left_out))
+    use_monotonic_clock(anyreactor)
+    relay = Relay(reactor, border, settings, RelayMetrics(budget.total_suppressed))
     anyreactor.callWhenRunning(lambda: _begin(anyreactor, relay))
     anyreactor.run()
     return 0
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/components.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/components.py
@@ -18,7 +18,7 @@
     from pondquay.routing.upstreamrecords import Departure
     from pondquay_daemon.relay.accounts import AccountBook
     from pondquay_daemon.relay.border import Border
-    from pondquay_daemon.relay.crashwatch import CrashWatch
+    from pondquay_daemon.relay.crashmonitor import CrashMonitor
     from pondquay_daemon.relay.egress import EgressPool
     from pondquay_daemon.relay.metrics import RelayMetrics
     from pondquay_daemon.relay.permits import PermitBroker
@@ -48,5 +48,5 @@
     list_age: Callable[[], float | None]
     announce_departure: Callable[[Departure], None]
     announce_load: Callable[[KnownUpstream, Iterable[str]], None]
-    crashes: CrashWatch
+    crashes: CrashMonitor
     permits: PermitBroker
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/connectioncheck.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/connectioncheck.py
@@ -21,7 +21,7 @@
 # A connection that stays for this long, in seconds, shows that a process listens. One
 # that is closed sooner shows nothing: its host may take it before the process ends, a
 # gateway may take it for one that is gone, and a busy upstream resets what is too many.
-STAY_SECONDS = 0.1
+MIN_OPEN_SECONDS = 0.1
 
 
 class Listening(StrEnum):
@@ -47,7 +47,7 @@
 
     def connectionMade(self) -> None:
         """Wait whether it stays."""
-        self._timer = self._clock.callLater(STAY_SECONDS, self._end)
+        self._timer = self._clock.callLater(MIN_OPEN_SECONDS, self._end)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
         """Take in that the other side does not want it, or was about to end."""
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/crashwatch.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/crashmonitor.py
@@ -20,7 +20,7 @@
 from pondquay_daemon.relay.admission import UNAVAILABLE, Refusal
 from pondquay_daemon.relay.connectioncheck import (
     CONNECT_SECONDS,
-    STAY_SECONDS,
+    MIN_OPEN_SECONDS,
     ConnectionCheck,
     Listening,
 )
@@ -43,11 +43,11 @@
 ROW_SECONDS = 8.0
 # Longest that a request waits for such a check, in seconds: its pause, and a connection
 # that comes at the last moment.
-MAX_WAIT_SECONDS = CHECK_SECONDS + CONNECT_SECONDS + STAY_SECONDS
+MAX_WAIT_SECONDS = CHECK_SECONDS + CONNECT_SECONDS + MIN_OPEN_SECONDS
 # A request whose events have been coming for this long, in seconds, is not what crashed
 # its upstream: one that does so does it as it begins to run. So fewer streams are
 # refused where upstreams crash of something else.
-BEGINNING_SECONDS = 1.0
+SUSPECT_STREAM_SECONDS = 1.0
 # Lost requests that wait at a time to be explained.
 MAX_UNEXPLAINED = 1024
 FROM_HERE = "here"
@@ -68,7 +68,7 @@
     checked: Deferred[None] = field(default_factory=Deferred)
 
 
-class CrashWatch:
+class CrashMonitor:
     """What one instance knows of crashes, and how it learns of them.
 
     :param instance: its name
@@ -129,7 +129,7 @@
         for one in pending:
             await wait_at_most(one.checked, MAX_WAIT_SECONDS, self._reactor, None)
 
-    def note_gone(self, upstream: str) -> None:
+    def note_row_removed(self, upstream: str) -> None:
         """Learn that an upstream's row is gone."""
         broken = self._broken.get(upstream)
         if broken is None:
@@ -177,9 +177,9 @@
             return None
         return Refusal(UNAVAILABLE, REASON, blocked.retry_after)
 
-    def take_trial(self, content: bytes) -> bool:
+    def start_trial(self, content: bytes) -> bool:
         """Allow a refused request one run, if that is due here."""
-        report = self.history.take_trial(content)
+        report = self.history.start_trial(content)
         if report is None:
             return False
         log_event("content-tried", content=content.hex(), trials=report.trials)
@@ -264,7 +264,7 @@
     """
 
     def __init__(
-        self, watch: CrashWatch, owner: str, host: str, head: RequestHead, body: bytes
+        self, watch: CrashMonitor, owner: str, host: str, head: RequestHead, body: bytes
     ) -> None:
         self._watch = watch
         self._parts = (owner, host, head.target, body)
@@ -285,10 +285,10 @@
         refusal = self._watch.check(self.content)
         if refusal is None:
             return None
-        self._on_trial = self._watch.take_trial(self.content)
+        self._on_trial = self._watch.start_trial(self.content)
         return None if self._on_trial else refusal
 
-    def check_again(self, sends: int) -> Refusal | None:
+    def recheck(self, sends: int) -> Refusal | None:
         """Return a refusal, unless the request may be sent once more.
 
         :param sends: how often it was sent
@@ -307,7 +307,7 @@
 
         :param streamed: seconds for which events had been coming from there
         """
-        if streamed < BEGINNING_SECONDS:
+        if streamed < SUSPECT_STREAM_SECONDS:
             self._watch.note_broken(upstream, self.content)
 
     async def wait_for_check(self) -> None:
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/crashrows.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/crashrows.py
@@ -16,7 +16,7 @@
     ABSENT,
     Committed,
     Condition,
-    Lost,
+    OutcomeUnknown,
     Transaction,
     Unreachable,
     Write,
@@ -118,7 +118,7 @@
             "crashes", (Condition(key, version),), (Write(key, value),)
         )
         reply = await self._store.commit(transaction)
-        if isinstance(reply, Unreachable | Lost):
+        if isinstance(reply, Unreachable | OutcomeUnknown):
             log_event("crash-row-not-written", Level.WARNING, key=key)
         return isinstance(reply, Committed)
 
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/egress.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/egress.py
@@ -31,22 +31,22 @@
 
 
 class ExchangeListener(ABC):
-    """What is told of an exchange. After ``ended`` or ``broke`` nothing more comes."""
+    """What is told of an exchange. After ``on_end`` or ``on_error`` nothing more comes."""
 
     @abstractmethod
-    def answered(self, head: ResponseHead) -> None:
+    def on_head(self, head: ResponseHead) -> None:
         """Take the head of the answer."""
 
     @abstractmethod
-    def received(self, data: bytes) -> None:
+    def on_body(self, data: bytes) -> None:
         """Take a piece of the answer's body."""
 
     @abstractmethod
-    def ended(self) -> None:
+    def on_end(self) -> None:
         """Learn that the answer is whole."""
 
     @abstractmethod
-    def broke(self, error: BrokenExchangeError) -> None:
+    def on_error(self, error: BrokenExchangeError) -> None:
         """Learn that no whole answer will come."""
 
 
@@ -149,9 +149,9 @@
             headers = event.headers.raw_items()
             self._rest = keep_alive_seconds(headers)
             self._close_after = wants_close(headers)
-            listener.answered(ResponseHead(event.status_code, event.reason, headers))
+            listener.on_head(ResponseHead(event.status_code, event.reason, headers))
         elif isinstance(event, h11.Data):
-            listener.received(bytes(event.data))
+            listener.on_body(bytes(event.data))
         elif isinstance(event, h11.EndOfMessage):
             self._finish(listener)
         elif isinstance(event, h11.ConnectionClosed):
@@ -173,13 +173,13 @@
             self._pool.rest(self, self._rest)
         else:
             self.drop()
-        listener.ended()
+        listener.on_end()
 
     def _fail(self, message: str, *, sent: bool) -> None:
         listener = self._listener
         self.drop()
         if listener is not None:
-            listener.broke(BrokenExchangeError(message, sent=sent))
+            listener.on_error(BrokenExchangeError(message, sent=sent))
 
 
 class _Connecting(ClientFactory):
@@ -250,7 +250,7 @@
         """Learn that no connection could be made."""
         if not self._cancelled:
             error = BrokenExchangeError(message, sent=False, refused=refused)
-            self._listener.broke(error)
+            self._listener.on_error(error)
 
     def cancel(self) -> None:
         """Close the exchange's connection; its listener is told nothing more."""
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/evacuationview.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/evacuationview.py
@@ -39,7 +39,7 @@
         self._cold_seconds = cold_seconds
         self._announce = announce
 
-    def take_snapshot(self, snapshot: Snapshot) -> None:
+    def apply_snapshot(self, snapshot: Snapshot) -> None:
         """Take in the table as a whole."""
         evacuated: dict[str, int] = {}
         for row in snapshot.rows:
@@ -49,7 +49,7 @@
         for news in self._directory.evacuations.replace(evacuated, snapshot.version):
             self._act(news, STORE)
 
-    def take_change(self, change: RowChange) -> None:
+    def apply_change(self, change: RowChange) -> None:
         """Take in one row."""
         domain = self._border.find_evacuated_domain(change.key)
         if domain is not None:
@@ -61,7 +61,7 @@
         self._take(news, PEER)
 
     def _take(self, news: Evacuation, source: str) -> None:
-        if self._directory.evacuations.take(news):
+        if self._directory.evacuations.merge(news):
             self._act(news, source)
 
     def _act(self, news: Evacuation, source: str) -> None:
@@ -73,5 +73,5 @@
             source=source,
         )
         if not news.evacuated:
-            self._directory.note_taken_back(news.domain, self._cold_seconds)
+            self._directory.note_restored(news.domain, self._cold_seconds)
         self._announce(news)
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/feeds.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/feeds.py
@@ -34,11 +34,11 @@
     """What is told of a table."""
 
     @abstractmethod
-    def take_snapshot(self, snapshot: Snapshot) -> None:
+    def apply_snapshot(self, snapshot: Snapshot) -> None:
         """Take in the table as a whole, perhaps older than what is known."""
 
     @abstractmethod
-    def take_change(self, change: RowChange) -> None:
+    def apply_change(self, change: RowChange) -> None:
         """Take in one row."""
 
     def note_synced(self) -> None:
@@ -56,15 +56,15 @@
     def __init__(self, *listeners: TableListener) -> None:
         self._listeners = listeners
 
-    def take_snapshot(self, snapshot: Snapshot) -> None:
+    def apply_snapshot(self, snapshot: Snapshot) -> None:
         """Take in the table as a whole."""
         for one in self._listeners:
-            one.take_snapshot(snapshot)
+            one.apply_snapshot(snapshot)
 
-    def take_change(self, change: RowChange) -> None:
+    def apply_change(self, change: RowChange) -> None:
         """Take in one row."""
         for one in self._listeners:
-            one.take_change(change)
+            one.apply_change(change)
 
     def note_synced(self) -> None:
         """Learn that the table answers."""
@@ -167,7 +167,7 @@
         took = self._clock.seconds() - asked
         self._read_again_at = asked + max(REREAD_SECONDS, took / REREAD_PART)
         self._listener.note_synced()
-        self._listener.take_snapshot(reply)
+        self._listener.apply_snapshot(reply)
         self._since = max(self._since or 0, reply.version)
         self._confirmed = asked
         return True
@@ -204,7 +204,7 @@
         self._since = max(self._since or 0, reply.version)
         for change in reply.changes:
             try:
-                self._listener.take_change(change)
+                self._listener.apply_change(change)
             except Exception as error:
                 self._log_failure(error)
 
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/fetch.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/fetch.py
@@ -7,7 +7,7 @@
 
 from twisted.internet.defer import Deferred
 
-from pondquay.tables import Lost, Unreachable
+from pondquay.tables import OutcomeUnknown, Unreachable
 from pondquay_daemon.relay.egress import Exchange, ExchangeListener
 
 if TYPE_CHECKING:
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fetched:
+class FetchedResponse:
     """A whole answer."""
 
     status: int
@@ -31,27 +31,29 @@
     """Collects one answer."""
 
     def __init__(self) -> None:
-        self.result: Deferred[Fetched | Unreachable | Lost] = Deferred()
+        self.result: Deferred[FetchedResponse | Unreachable | OutcomeUnknown] = (
+            Deferred()
+        )
         self._status = 0
         self._body: list[bytes] = []
 
-    def answered(self, head: ResponseHead) -> None:
+    def on_head(self, head: ResponseHead) -> None:
         """Take the head of the answer."""
         self._status = head.status
 
-    def received(self, data: bytes) -> None:
+    def on_body(self, data: bytes) -> None:
         """Take a piece of the body."""
         self._body.append(data)
 
-    def ended(self) -> None:
+    def on_end(self) -> None:
         """Hand the answer over."""
-        self.finish(Fetched(self._status, b"".join(self._body)))
+        self.finish(FetchedResponse(self._status, b"".join(self._body)))
 
-    def broke(self, error: BrokenExchangeError) -> None:
+    def on_error(self, error: BrokenExchangeError) -> None:
         """Tell whether the call may have been carried out."""
-        self.finish(Lost() if error.sent else Unreachable())
+        self.finish(OutcomeUnknown() if error.sent else Unreachable())
 
-    def finish(self, result: Fetched | Unreachable | Lost) -> None:
+    def finish(self, result: FetchedResponse | Unreachable | OutcomeUnknown) -> None:
         """Fire the result once."""
         if not self.result.called:
             self.result.callback(result)
@@ -78,7 +80,9 @@
         self._pool = pool
         self._address = address
 
-    async def fetch(self, call: Call, seconds: float) -> Fetched | Unreachable | Lost:
+    async def fetch(
+        self, call: Call, seconds: float
+    ) -> FetchedResponse | Unreachable | OutcomeUnknown:
         """Make a call; an answer that takes longer counts as lost."""
         collector = _Collector()
         exchange = Exchange(
@@ -88,7 +92,7 @@
         def give_up() -> None:
             sent = exchange.sent
             exchange.cancel()
-            collector.finish(Lost() if sent else Unreachable())
+            collector.finish(OutcomeUnknown() if sent else Unreachable())
 
         timer = self._clock.callLater(seconds, give_up)
         self._pool.start(self._address, exchange)
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/ingress.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/ingress.py
@@ -55,7 +55,7 @@
         self.began: float | None = None
         self.on_gone: Callable[[], None] | None = None
 
-    def send_whole(self, status: int, headers: HeaderList, body: bytes) -> None:
+    def send_complete(self, status: int, headers: HeaderList, body: bytes) -> None:
         """Send an answer that is known as a whole."""
         if not self.open:
             return
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/knowledge.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/knowledge.py
@@ -39,13 +39,13 @@
         self.table: RouteTable | None = None
         self.value: JsonObject | None = None
 
-    def take_snapshot(self, snapshot: Snapshot) -> None:
+    def apply_snapshot(self, snapshot: Snapshot) -> None:
         """Take in the table as a whole."""
         for row in snapshot.rows:
             if row.key == self._key:
                 self.offer(row.value)
 
-    def take_change(self, change: RowChange) -> None:
+    def apply_change(self, change: RowChange) -> None:
         """Take in one row."""
         if change.key == self._key and change.value is not None:
             self.offer(change.value)
@@ -116,7 +116,7 @@
         self.known = False
         self.malformed: dict[str, tuple[int, str]] = {}
 
-    def take_snapshot(self, snapshot: Snapshot) -> None:
+    def apply_snapshot(self, snapshot: Snapshot) -> None:
         """Take in the list as a whole."""
         records: dict[str, tuple[UpstreamRecord, int]] = {}
         listed = {row.key for row in snapshot.rows}
@@ -140,7 +140,7 @@
         self.known = True
         log_event("upstreams-read", count=len(records), version=snapshot.version)
 
-    def take_change(self, change: RowChange) -> None:
+    def apply_change(self, change: RowChange) -> None:
         """Take in one row of the list."""
         if change.value is None:
             self.malformed.pop(change.key, None)
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/linkplans.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/linkplans.py
@@ -24,7 +24,7 @@
 # there; those to lenders of its own workspaces elsewhere; and some others, so that news
 # crosses domains.
 MAX_NEAR_LINKS = 64
-MAX_PARTNER_LINKS = 24
+MAX_CO_LENDER_LINKS = 24
 MAX_FAR_LINKS = 16
 
 
@@ -49,13 +49,13 @@
         self,
         members: Mapping[str, Member],
         linked: Collection[str],
-        partners: Collection[str],
+        co_lenders: Collection[str],
         wished: Collection[str],
     ) -> list[Address]:
         """Return where to open links now.
 
         :param linked: instances to which there are links
-        :param partners: those to which links are worth most, wherever they are
+        :param co_lenders: those to which links are worth most, wherever they are
         :param wished: those to which there must be links
         """
         near: list[Address] = []
@@ -69,15 +69,15 @@
                 near.append(member.address)
             elif name in wished:
                 wanted.append(member.address)
-            elif name in partners:
+            elif name in co_lenders:
                 lenders.append(member.address)
             else:
                 others.append(member.address)
         linked_far = {one for one in linked if not self._is_near(members.get(one))}
         linked_near = len(linked) - len(linked_far)
-        linked_partners = sum(one in partners for one in linked_far)
+        linked_co_lenders = sum(one in co_lenders for one in linked_far)
         wanted += _draw(near, MAX_NEAR_LINKS - linked_near)
-        wanted += _draw(lenders, MAX_PARTNER_LINKS - linked_partners)
+        wanted += _draw(lenders, MAX_CO_LENDER_LINKS - linked_co_lenders)
         wanted += _draw(others, MAX_FAR_LINKS - len(linked_far) - len(lenders))
         return wanted
 
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/loadnews.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/loadannouncer.py
@@ -16,7 +16,7 @@
 SELDOM_LOADS_SECONDS = 0.25
 
 
-class LoadNews:
+class LoadAnnouncer:
     """Gathers changes until the next message.
 
     Most of what waits has been read before the message, so most of it is never told,
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/loandemands.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/loandemands.py
@@ -48,7 +48,9 @@
         self._numbers = count(1)
         self._demands: dict[tuple[PeerLink, str], LoanDemand] = {}
 
-    async def ask(self, link: PeerLink, workspace: str, tokens: int, ahead: int) -> int:
+    async def ask(
+        self, link: PeerLink, workspace: str, tokens: int, headroom: int
+    ) -> int:
         """Ask for tokens; return how many came in time.
 
         Who asks while a demand is under way waits for the same answer, or not at all if
@@ -59,7 +61,7 @@
         if demand is None:
             demand = LoanDemand(next(self._numbers), now + LOAN_SECONDS, Deferred())
             self._demands[link, workspace] = demand
-            link.send(LoanRequest(demand.number, workspace, tokens, ahead))
+            link.send(LoanRequest(demand.number, workspace, tokens, headroom))
         seconds = demand.overdue_at - now
         if seconds <= 0:
             return 0
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/loans.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/loans.py
@@ -20,7 +20,7 @@
 
     from twisted.internet.interfaces import IReactorTime
 
-    from pondquay.budgets.accounts import Account, Refused
+    from pondquay.budgets.accounts import Account, RefusalReason
     from pondquay.policy import RelayPolicy
 
 MAX_LENDERS = 8
@@ -43,15 +43,15 @@
 
     @abstractmethod
     async def borrow(
-        self, peer: str, workspace: str, tokens: int, ahead: int = 0
+        self, peer: str, workspace: str, tokens: int, headroom: int = 0
     ) -> int:
         """Ask for tokens; those that come are taken in before this returns.
 
-        :param ahead: what an instance without an allotment would like besides
+        :param headroom: what an instance without an allotment would like besides
         """
 
     @abstractmethod
-    def give(self, peer: str, workspace: str, tokens: int) -> None:
+    def transfer(self, peer: str, workspace: str, tokens: int) -> None:
         """Hand over tokens that were counted as spent here."""
 
 
@@ -81,8 +81,8 @@
         self._lender = lender
         self._domains: Mapping[str, str] = {}
         self._chosen: dict[str, frozenset[str]] = {}
-        self._partners: frozenset[str] = frozenset()
-        self._partners_known: tuple[Mapping[str, str], int] | None = None
+        self._co_lenders: frozenset[str] = frozenset()
+        self._co_lenders_of: tuple[Mapping[str, str], int] | None = None
 
     def settle_until(self, time: float) -> None:
         """Wait for links, and for the list of instances, until a time in seconds."""
@@ -105,7 +105,7 @@
 
     async def borrow(
         self, account: Account, workspace: str, tokens: int
-    ) -> Refused | None:
+    ) -> RefusalReason | None:
         """Borrow what lacks for a request and reserve it.
 
         :returns: why not, ``None`` if it is reserved
@@ -113,19 +113,19 @@
         if not self._policy.borrow:
             return account.reserve(tokens)
         lends = self.lends(workspace)
-        ahead = (
+        headroom = (
             0
             if lends
             else max(1, plan_borrowed_headroom(account, self._clock.seconds()))
         )
-        refused = await self._ask_all(account, workspace, tokens, ahead)
+        refused = await self._ask_all(account, workspace, tokens, headroom)
         if lends and self._reachable():
             return refused
         for wait in ASK_AGAIN_WAITS:
             if refused is None:
                 break
             await sleep(wait, self._clock)
-            refused = await self._ask_all(account, workspace, tokens, ahead)
+            refused = await self._ask_all(account, workspace, tokens, headroom)
         return refused
 
     async def refill(self, account: Account, workspace: str, tokens: int) -> None:
@@ -151,15 +151,15 @@
                 return
             await self._lender.borrow(peer, workspace, 0, lacking)
 
-    def partners(self, workspaces: Collection[str]) -> frozenset[str]:
+    def co_lenders(self, workspaces: Collection[str]) -> frozenset[str]:
         """Return the lenders of those workspaces for which this instance lends too."""
         known = self._lender.domains, len(workspaces)
-        if self._partners_known != known:
+        if self._co_lenders_of != known:
             chosen = [self._choose(one) for one in workspaces]
             shared = [one for one in chosen if self._instance in one]
-            self._partners = frozenset().union(*shared) - {self._instance}
-            self._partners_known = known
-        return self._partners
+            self._co_lenders = frozenset().union(*shared) - {self._instance}
+            self._co_lenders_of = known
+        return self._co_lenders
 
     def return_surplus(self, workspace: str, account: Account) -> None:
         """Hand back what is borrowed and not needed."""
@@ -172,15 +172,15 @@
         self._give(workspace, account, account.unspent)
 
     async def _ask_all(
-        self, account: Account, workspace: str, tokens: int, ahead: int
-    ) -> Refused | None:
+        self, account: Account, workspace: str, tokens: int, headroom: int
+    ) -> RefusalReason | None:
         refused = account.reserve(tokens)
         for peer in self._rank(account, workspace):
             if refused is None:
                 break
             lacking = tokens - account.unspent
             if lacking > 0:
-                await self._lender.borrow(peer, workspace, lacking, ahead)
+                await self._lender.borrow(peer, workspace, lacking, headroom)
             refused = account.reserve(tokens)
         return refused
 
@@ -190,7 +190,7 @@
             return
         given = account.lend(tokens)
         if given:
-            self._lender.give(ranked[0], workspace, given)
+            self._lender.transfer(ranked[0], workspace, given)
             log_event("tokens-given", workspace=workspace, tokens=given, peer=ranked[0])
 
     def _rank(self, account: Account, workspace: str) -> list[str]:
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/members.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/members.py
@@ -48,13 +48,13 @@
         """How many instances the list names, 0 before it was read."""
         return len(self._mesh.domains) if self._read else 0
 
-    def take_snapshot(self, snapshot: Snapshot) -> None:
+    def apply_snapshot(self, snapshot: Snapshot) -> None:
         """Take in the list as a whole."""
         self._read = True
         for row in snapshot.rows:
             self._learn(row.key, row.value)
 
-    def take_change(self, change: RowChange) -> None:
+    def apply_change(self, change: RowChange) -> None:
         """Take in one row."""
         if change.value is None:
             self._mesh.forget(change.key)
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/messages.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/messages.py
@@ -54,7 +54,7 @@
     last_event: int = 0
 
     @property
-    def most_tokens(self) -> int:
+    def max_tokens(self) -> int:
         """The most tokens that one run can cost."""
         return self.prompt_tokens + self.output_tokens
 
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/metrics.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/metrics.py
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from collections import Counter as Counts
 
-    from pondquay.budgets.accounts import Refused
+    from pondquay.budgets.accounts import RefusalReason
 
 SECONDS_BUCKETS = (0.02, 0.05, 0.1, 0.2, 0.34, 0.6, 0.8, 1.5, 3.0, 6.0, 12.0)
 
@@ -84,7 +84,7 @@
         if first is not None:
             self.first.observe(first)
 
-    def note_refused(self, reason: Refused) -> None:
+    def note_refused(self, reason: RefusalReason) -> None:
         """Count a request for which there are no tokens."""
         self.refusals.labels(reason.value).inc()
 
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/contacts.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/observers.py
@@ -71,7 +71,7 @@
                 seconds=signals.backoff,
             )
         if signals.tells_limit:
-            self._components.permits.note_named(
+            self._components.permits.note_response_limit(
                 self._upstream, signals.limit, self._placed_at, self._reached_by(now)
             )
         else:
@@ -83,7 +83,7 @@
         """Return by when the request has reached the upstream, in seconds."""
         return min(now, self._placed_at + CONNECT_SECONDS)
 
-    def _note_leaving(self, reached_by: float) -> None:
+    def _note_leaving(self, delivered_at: float) -> None:
         """Take in that it leaves, and tell peers.
 
         While the table is away no row says so. Each instance that is not told finds
@@ -91,7 +91,7 @@
         """
         record = self._upstream.record
         directory = self._components.directory
-        if not directory.note_announced_leaving(self._upstream, reached_by):
+        if not directory.note_announced_leaving(self._upstream, delivered_at):
             return
         log_event("upstream-leaves", upstream=self._upstream.name, source=FROM_RESPONSE)
         self._components.announce_departure(Departure(record.name, None, record.born))
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/peernews.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/peerdispatcher.py
@@ -13,7 +13,7 @@
     from pondquay.routing.evacuations import Evacuation
     from pondquay.routing.upstreamrecords import Departure
     from pondquay_daemon.relay.accounts import AccountBook
-    from pondquay_daemon.relay.crashwatch import CrashWatch
+    from pondquay_daemon.relay.crashmonitor import CrashMonitor
     from pondquay_daemon.relay.evacuationview import EvacuationView
     from pondquay_daemon.relay.feeds import TableFeed
     from pondquay_daemon.relay.knowledge import ConfigurationView
@@ -27,7 +27,7 @@
 MAX_SUSPECTED_TOLD = 64
 
 
-class PeerNews(PeerListener):
+class PeerDispatcher(PeerListener):
     """Hands messages of peers to the parts of a relay.
 
     The links are made before most parts, which tell peers through them; no link opens
@@ -38,7 +38,7 @@
     _configuration: ConfigurationView
     _accounts: AccountBook
     _evacuations: EvacuationView
-    _crashes: CrashWatch
+    _crashes: CrashMonitor
 
     def __init__(self, directory: UpstreamDirectory) -> None:
         self._directory = directory
@@ -49,7 +49,7 @@
         configuration: ConfigurationView,
         accounts: AccountBook,
         evacuations: EvacuationView,
-        crashes: CrashWatch,
+        crashes: CrashMonitor,
     ) -> None:
         """Take the parts that messages are for."""
         self._feed = feed
@@ -104,7 +104,7 @@
 
     def evacuations(self) -> list[Evacuation]:
         """Return what is known here of emptied domains."""
-        return self._directory.evacuations.news()
+        return self._directory.evacuations.updates()
 
     def receive_evacuation(self, news: Evacuation) -> None:
         """Take in a peer's news of an emptied domain."""
@@ -120,13 +120,13 @@
         """Take in what a peer knows of such a content."""
         self._crashes.receive(report, FROM_PEER)
 
-    def lend(self, workspace: str, tokens: int, ahead: int) -> int:
+    def lend(self, workspace: str, tokens: int, headroom: int) -> int:
         """Hand tokens to a peer."""
-        return self._accounts.lend(workspace, tokens, ahead)
+        return self._accounts.lend(workspace, tokens, headroom)
 
-    def partners(self) -> frozenset[str]:
+    def co_lenders(self) -> frozenset[str]:
         """Return the instances that lend for the same workspaces as this one."""
-        return self._accounts.partners()
+        return self._accounts.co_lenders()
 
     def receive_loan(
         self, workspace: str, tokens: int, *, returned: bool = False
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/peerlinks.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/peerlinks.py
@@ -12,7 +12,7 @@
 from pondquay_daemon.relay.peermessages import (
     MessageReader,
     encode_message,
-    make_former,
+    make_earlier_form,
 )
 
 if TYPE_CHECKING:
@@ -88,7 +88,7 @@
     def send(self, message: PeerMessage) -> None:
         """Send a message, also in its former form to who may read that alone."""
         self.send_bytes(encode_message(message))
-        former = make_former(message)
+        former = make_earlier_form(message)
         if former is not None and not self.reads(type(message)):
             self.send_bytes(encode_message(former))
 
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/peerlistener.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/peerlistener.py
@@ -68,10 +68,10 @@
         """Take in what is known elsewhere of such a content."""
 
     @abstractmethod
-    def lend(self, workspace: str, tokens: int, ahead: int) -> int:
+    def lend(self, workspace: str, tokens: int, headroom: int) -> int:
         """Count tokens as spent here and return how many, 0 if none can be spared.
 
-        :param ahead: tokens that are wanted besides, 0 from those with an allotment
+        :param headroom: tokens that are wanted besides, 0 from those with an allotment
         """
 
     @abstractmethod
@@ -84,5 +84,5 @@
         """
 
     @abstractmethod
-    def partners(self) -> frozenset[str]:
+    def co_lenders(self) -> frozenset[str]:
         """Return the instances to which a link is worth most, wherever they are."""
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/peermessages.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/peermessages.py
@@ -37,7 +37,7 @@
 # Permits that are asked for at once at most.
 MAX_PERMITS = 1000
 # Number of a loan that nobody asked for; requests are numbered from 1.
-UNASKED = 0
+UNSOLICITED = 0
 
 Count = Annotated[int, Meta(ge=0, le=MAX_NUMBER)]
 Content = Annotated[bytes, Meta(min_length=CONTENT_BYTES, max_length=CONTENT_BYTES)]
@@ -63,7 +63,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Understood:
+class SupportedMessages:
     """Names the kinds of messages that the sender reads.
 
     It follows the first message on a link; builds that do not know it never send it.
@@ -229,7 +229,7 @@
 class Loan:
     """Hands tokens over; the sender has counted them as spent.
 
-    :param number: of the request for them, ``UNASKED`` for what is handed back
+    :param number: of the request for them, ``UNSOLICITED`` for what is handed back
     :param tokens: 0 if it has none to spare
     """
 
@@ -304,7 +304,7 @@
 
 PeerMessage: TypeAlias = (
     Hello
-    | Understood
+    | SupportedMessages
     | Heartbeat
     | FetchConfiguration
     | ConfigurationValue
@@ -323,7 +323,7 @@
     one.CODE: one
     for one in (
         Hello,
-        Understood,
+        SupportedMessages,
         Heartbeat,
         FetchConfiguration,
         ConfigurationValue,
@@ -347,7 +347,7 @@
     return packed
 
 
-def make_former(message: PeerMessage) -> PeerMessage | None:
+def make_earlier_form(message: PeerMessage) -> PeerMessage | None:
     """Return what is said to peers that do not read a message's kind.
 
     :returns: the former form of its kind, ``None`` if there is none
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/peers.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/peers.py
@@ -16,14 +16,14 @@
     MAX_FAR_LINKS,
     LinkPlan,
 )
-from pondquay_daemon.relay.loadnews import LoadNews
+from pondquay_daemon.relay.loadannouncer import LoadAnnouncer
 from pondquay_daemon.relay.loandemands import LoanDemands
 from pondquay_daemon.relay.loans import Lender
 from pondquay_daemon.relay.member import Member
 from pondquay_daemon.relay.peerlinks import LinkConnector, LinkListener, LinkOwner
 from pondquay_daemon.relay.peermessages import (
     MESSAGE_TYPES,
-    UNASKED,
+    UNSOLICITED,
     ConfigurationValue,
     DomainEvacuations,
     FetchConfiguration,
@@ -31,13 +31,13 @@
     Hello,
     Loan,
     LoanRequest,
+    SupportedMessages,
     UndatedCrashes,
-    Understood,
     UpstreamCrashes,
     UpstreamDepartures,
     UpstreamLoads,
     encode_message,
-    make_former,
+    make_earlier_form,
 )
 from pondquay_daemon.tasks import Task
 
@@ -90,7 +90,7 @@
         self._connecting: set[Address] = set()
         self._plan = LinkPlan(self.clock, instance, member.domain)
         self._demands = LoanDemands(self.clock)
-        self._load_news = LoadNews(
+        self._load_news = LoadAnnouncer(
             self.clock, self._send_all, lambda: len(self._links) > MAX_FAR_LINKS
         )
         self._fetch = ConfigurationFetch(self.clock, listener, self._all)
@@ -170,19 +170,19 @@
         self._load_news.announce(upstream, count, parts)
 
     async def borrow(
-        self, peer: str, workspace: str, tokens: int, ahead: int = 0
+        self, peer: str, workspace: str, tokens: int, headroom: int = 0
     ) -> int:
         """Ask a peer for tokens; return how many came in time."""
         link = self._links.get(peer)
         if link is None:
             return 0
-        return await self._demands.ask(link, workspace, tokens, ahead)
+        return await self._demands.ask(link, workspace, tokens, headroom)
 
-    def give(self, peer: str, workspace: str, tokens: int) -> None:
+    def transfer(self, peer: str, workspace: str, tokens: int) -> None:
         """Hand over tokens that were counted as spent here."""
         link = self._links.get(peer)
         if link is not None:
-            link.send(Loan(UNASKED, workspace, tokens))
+            link.send(Loan(UNSOLICITED, workspace, tokens))
 
     def greet(self, link: PeerLink) -> None:
         """Send the first message on a link."""
@@ -192,7 +192,7 @@
             name: (str(one.address), one.domain) for name, one in self._members.items()
         }
         link.send(Hello(self._instance, members))
-        link.send(Understood(sorted(MESSAGE_TYPES)))
+        link.send(SupportedMessages(sorted(MESSAGE_TYPES)))
         link.send(Heartbeat(self._listener.configuration_version()))
         link.send(UpstreamDepartures.pack(self._listener.departures()[-MAX_TOLD:]))
         if evacuations := self._listener.evacuations():
@@ -222,7 +222,7 @@
         link.last_seen_at = self.clock.seconds()
         if isinstance(message, Hello):
             self._receive_hello(link, message)
-        elif isinstance(message, Understood):
+        elif isinstance(message, SupportedMessages):
             self._receive_understood(link, message)
         elif isinstance(message, Heartbeat):
             self._receive_version(link, message.version)
@@ -277,7 +277,7 @@
             self._links[hello.instance] = link
             log_event("peer-linked", peer=hello.instance)
 
-    def _receive_understood(self, link: PeerLink, message: Understood) -> None:
+    def _receive_understood(self, link: PeerLink, message: SupportedMessages) -> None:
         link.understood = frozenset(message.codes)
         for topic in self._topics:
             topic.note_understood(link)
@@ -319,7 +319,7 @@
     def _receive_loan(self, link: PeerLink, loan: Loan) -> None:
         """Take a loan, also one that comes after it was waited for."""
         if loan.tokens > 0:
-            returned = loan.number == UNASKED
+            returned = loan.number == UNSOLICITED
             self._listener.receive_loan(loan.workspace, loan.tokens, returned=returned)
         self._demands.end(link, loan)
 
@@ -344,7 +344,7 @@
         addresses = self._plan.choose(
             self._members,
             self._links,
-            self._listener.partners(),
+            self._listener.co_lenders(),
             {one for topic in self._topics for one in topic.list_requested()},
         )
         if not self._links:
@@ -365,7 +365,7 @@
 
     def _send_all(self, message: PeerMessage) -> None:
         data = encode_message(message)
-        former = make_former(message)
+        former = make_earlier_form(message)
         for link in self._links.values():
             if former is None:
                 link.send_bytes(data)
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/permits.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/permits.py
@@ -8,7 +8,7 @@
 
 from twisted.internet.defer import Deferred
 
-from pondquay.routing.ratelimits import PERMIT_SECONDS, RateLimit
+from pondquay.routing.ratelimits import PERMIT_LIFETIME_SECONDS, RateLimit
 from pondquay_daemon.logs import log_event
 from pondquay_daemon.relay.peermessages import MAX_PERMITS, PermitGrant
 from pondquay_daemon.relay.permitlinks import PermitListener
@@ -20,7 +20,7 @@
     from twisted.internet.interfaces import IReactorTime
 
     from pondquay.routing.directory import UpstreamDirectory
-    from pondquay.routing.issuers import IssuerChoice
+    from pondquay.routing.issuers import IssuerSelector
     from pondquay.routing.knownupstreams import KnownUpstream
     from pondquay_daemon.relay.metrics import RelayMetrics
     from pondquay_daemon.relay.peerlinks import PeerLink
@@ -29,7 +29,7 @@
 
 # For which a request waits for a permit before it goes elsewhere, in seconds: some ways
 # between failure domains.
-WAIT_SECONDS = 0.05
+PERMIT_WAIT_SECONDS = 0.05
 # After which an instance asks again that had nobody to ask, in seconds.
 NO_ISSUER_RETRY_SECONDS = 0.25
 # Instances that pass a request on: the one that speaks for a domain.
@@ -62,7 +62,7 @@
         clock: IReactorTime,
         instance: str,
         directory: UpstreamDirectory,
-        choice: IssuerChoice,
+        choice: IssuerSelector,
         links: PermitLinks,
         metrics: RelayMetrics,
     ) -> None:
@@ -92,54 +92,54 @@
         if not upstream.is_limited():
             return True
         now = self._clock.seconds()
-        stock = upstream.permits
-        stock.note_demand(now)
-        if stock.take(now):
+        cache = upstream.permits
+        cache.note_demand(now)
+        if cache.take(now):
             return True
-        if now < stock.next_request_at:
+        if now < cache.next_request_at:
             return False
         refill = self._refills.get(upstream.name)
         if refill is None:
             refill = self._refills[upstream.name] = Refill(
-                Deferred(), now + WAIT_SECONDS
+                Deferred(), now + PERMIT_WAIT_SECONDS
             )
             spawn(self._refill(upstream, refill), "PermitDesk")
         seconds = min(refill.overdue_at, until) - now
         if seconds > 0:
             await wait_at_most(refill.done, seconds, self._clock, None)
-        return not upstream.is_limited() or stock.take(self._clock.seconds())
+        return not upstream.is_limited() or cache.take(self._clock.seconds())
 
-    def plan_return(self, upstreams: Iterable[KnownUpstream]) -> float | None:
+    def plan_retry(self, upstreams: Iterable[KnownUpstream]) -> float | None:
         """Return when a caller that is refused should come again, in seconds.
 
         :returns: ``None`` if none of them is limited
         """
-        stocks = [one.permits for one in upstreams if one.is_limited()]
-        if not stocks:
+        caches = [one.permits for one in upstreams if one.is_limited()]
+        if not caches:
             return None
-        first = min(stocks, key=lambda one: one.next_request_at)
-        return first.plan_return(self._clock.seconds())
+        first = min(caches, key=lambda one: one.next_request_at)
+        return first.plan_retry(self._clock.seconds())
 
     def list_limited(self) -> list[KnownUpstream]:
         """Return the upstreams that name a limit."""
         return self._directory.list_limited()
 
-    def note_named(
+    def note_response_limit(
         self,
         upstream: KnownUpstream,
         rate: float | None,
-        asked_at: float,
-        reached_by: float,
+        requested_at: float,
+        delivered_at: float,
     ) -> None:
         """Take in what an answer names, and tell peers of another limit than before.
 
         :param rate: requests a second, ``None`` if it names no limit
-        :param asked_at: when the request was placed, in seconds
-        :param reached_by: by when it had reached the upstream, in seconds
+        :param requested_at: when the request was placed, in seconds
+        :param delivered_at: by when it had reached the upstream, in seconds
         """
         before = upstream.limit.rate
         limit = RateLimit(rate, self._clock.seconds())
-        if self._directory.note_limit(upstream, limit, asked_at, reached_by):
+        if self._directory.note_limit(upstream, limit, requested_at, delivered_at):
             _log_limit(upstream, before, FROM_RESPONSE)
             self._links.announce(upstream)
 
@@ -176,13 +176,13 @@
         )
 
     async def _refill(self, upstream: KnownUpstream, refill: Refill) -> None:
-        stock = upstream.permits
-        asked_at = self._clock.seconds()
-        wanted = min(MAX_PERMITS, stock.count_wanted())
+        cache = upstream.permits
+        requested_at = self._clock.seconds()
+        wanted = min(MAX_PERMITS, cache.count_needed())
         try:
             grant = await self._obtain(self._instance, upstream, wanted, 0)
             now = self._clock.seconds()
-            stock.add(grant.count, asked_at + grant.seconds, grant.pause, now)
+            cache.add(grant.count, requested_at + grant.seconds, grant.pause, now)
             self._metrics.permits.labels("granted").inc(grant.count)
             if not grant.count:
                 self._metrics.permits.labels("refused").inc()
@@ -196,14 +196,14 @@
         """Return permits for an instance, issued here or by the one that does."""
         rate = upstream.limit.rate
         if rate is None:
-            return PermitGrant(0, wanted, PERMIT_SECONDS, 0.0, None, None)
+            return PermitGrant(0, wanted, PERMIT_LIFETIME_SECONDS, 0.0, None, None)
         source = self._choose_source(upstream)
         if source == self._instance:
             now = self._clock.seconds()
             issued = upstream.issuer.issue(requester, wanted, rate, now)
             self._metrics.permits.labels("issued").inc(issued.count)
             return PermitGrant(
-                0, issued.count, PERMIT_SECONDS, issued.pause, rate, None
+                0, issued.count, PERMIT_LIFETIME_SECONDS, issued.pause, rate, None
             )
         if source is None or hops > MAX_HOPS:
             return _grant_nothing(0)
@@ -216,11 +216,11 @@
 
     def _choose_source(self, upstream: KnownUpstream) -> str | None:
         """Return whom to ask for an upstream's permits, and log it where it changes."""
-        record, stock = upstream.record, upstream.permits
+        record, cache = upstream.record, upstream.permits
         source = self._choice.choose(record.name, record.domain)
-        if source != stock.source:
+        if source != cache.source:
             log_event("permit-source", upstream=upstream.name, asks=source or "nobody")
-            stock.source = source
+            cache.source = source
         return source
 
     def _receive(self, upstream: KnownUpstream, rate: float | None, age: float) -> None:
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/placement.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/placement.py
@@ -74,7 +74,7 @@
         sound = [one for one in candidates if self._is_healthy(one, now)]
         elsewhere = [one for one in sound if one.record.domain not in unreached]
         chosen = self._choose_of(elsewhere or sound or candidates, prefix, now)
-        chosen.sent_at = now
+        chosen.last_sent_at = now
         return chosen
 
     def note_unreached(self, upstream: KnownUpstream, *, refused: bool) -> None:
@@ -103,7 +103,7 @@
             for one in candidates
             if one.name not in tried and not one.in_backoff(now)
         ]
-        retry_after = self._permits.plan_return(left)
+        retry_after = self._permits.plan_retry(left)
         if retry_after is not None:
             return NoUpstream("no upstream below its limit", retry_after)
         if left:
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/readiness.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/readiness.py
@@ -34,4 +34,4 @@
     def handle(self, head: RequestHead, body: bytes, response: CallerResponse) -> None:
         """Answer one question."""
         ready = head.target == self._path and self._is_ready()
-        response.send_whole(OK if ready else UNAVAILABLE, [], b"")
+        response.send_complete(OK if ready else UNAVAILABLE, [], b"")
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/relay.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/relay.py
@@ -11,7 +11,7 @@
 from pondquay.routes.entities import CallerLimits
 from pondquay.routing.coldshares import ColdShares
 from pondquay.routing.directory import UpstreamDirectory
-from pondquay.routing.issuers import IssuerChoice, LinkedPeers
+from pondquay.routing.issuers import IssuerSelector, LinkedPeers
 from pondquay.routing.listwatch import MISSING_GRACE_SECONDS
 from pondquay.routing.retryshares import RetryShare
 from pondquay_daemon.logs import Level, log_event
@@ -24,8 +24,8 @@
 )
 from pondquay_daemon.relay.allotmentrows import TABLE as ALLOTMENTS
 from pondquay_daemon.relay.components import RelayComponents
+from pondquay_daemon.relay.crashmonitor import CrashMonitor
 from pondquay_daemon.relay.crashrows import CrashRows
-from pondquay_daemon.relay.crashwatch import CrashWatch
 from pondquay_daemon.relay.egress import EgressPool
 from pondquay_daemon.relay.evacuationview import EvacuationView
 from pondquay_daemon.relay.feeds import JointListener, TableFeed
@@ -34,7 +34,7 @@
 from pondquay_daemon.relay.member import Member
 from pondquay_daemon.relay.members import TABLE as MEMBERS
 from pondquay_daemon.relay.members import MemberList
-from pondquay_daemon.relay.peernews import FROM_STORE, PeerNews
+from pondquay_daemon.relay.peerdispatcher import FROM_STORE, PeerDispatcher
 from pondquay_daemon.relay.peers import PeerMesh
 from pondquay_daemon.relay.permitlinks import PermitLinks
 from pondquay_daemon.relay.permits import PermitBroker
@@ -42,7 +42,7 @@
 from pondquay_daemon.relay.readiness import ReadinessHandler
 from pondquay_daemon.relay.reports import ReportHandler
 from pondquay_daemon.relay.requests import RequestRun
-from pondquay_daemon.relay.wakewatch import WakeWatch
+from pondquay_daemon.relay.stallmonitor import StallMonitor
 from pondquay_daemon.tasks import sleep, spawn
 
 if TYPE_CHECKING:
@@ -106,9 +106,13 @@
         )
         bounds = settings.bounds
         self._member = Member(settings.peers, settings.domain)
-        self.news = PeerNews(directory)
+        self.peer_dispatcher = PeerDispatcher(directory)
         self._peers = PeerMesh(
-            reactor, settings.instance, self._member, settings.seeds, self.news
+            reactor,
+            settings.instance,
+            self._member,
+            settings.seeds,
+            self.peer_dispatcher,
         )
         self._members = MemberList(reactor, self._store, self._peers, settings.instance)
         self._accounts = AccountBook(
@@ -127,7 +131,7 @@
             reactor,
             settings.instance,
             directory,
-            IssuerChoice(
+            IssuerSelector(
                 settings.instance,
                 settings.domain,
                 lambda: self._peers.domains,
@@ -166,7 +170,7 @@
             lambda: self._upstream_feed.age(),
             self._peers.announce_departure,
             self._announce_load,
-            CrashWatch(
+            CrashMonitor(
                 reactor,
                 settings.instance,
                 lambda: self._peers.domains,
@@ -181,7 +185,7 @@
             border,
             directory,
             self._peers.announce_departure,
-            self._components.crashes.note_gone,
+            self._components.crashes.note_row_removed,
         )
         self._evacuations = EvacuationView(
             border,
@@ -209,7 +213,7 @@
             self._upstreams,
             lambda: choose_upstreams_pause(bounds.departure),
         )
-        self._wake = WakeWatch(reactor, (self._feed, self._upstream_feed))
+        self._wake = StallMonitor(reactor, (self._feed, self._upstream_feed))
         self._feeds = [
             self._feed,
             self._upstream_feed,
@@ -225,7 +229,7 @@
                 reactor, self._store, MEMBERS, self._members, lambda: MEMBERS_PAUSE
             ),
         ]
-        self.news.connect(
+        self.peer_dispatcher.connect(
             self._feed,
             self._configuration,
             self._accounts,
@@ -376,7 +380,7 @@
         self._peers.announce_load(upstream.name, lambda: prompts.own, parts)
 
     def _take_table(self, table: RouteTable) -> None:
-        self._accounts.take_table(table)
+        self._accounts.apply_table(table)
         self._peers.announce_version()
 
     def _current(self) -> bool:
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/reports.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/reports.py
@@ -46,10 +46,10 @@
         """Answer one question."""
         if head.path == METRICS_PATH:
             headers = [(b"Content-Type", METRICS_TYPE)]
-            response.send_whole(OK, headers, self._render_metrics())
+            response.send_complete(OK, headers, self._render_metrics())
         elif head.path == DUMP_PATH:
             text = json.dumps(self._describe(), indent=2)
             headers = [(b"Content-Type", JSON_TYPE)]
-            response.send_whole(OK, headers, text.encode())
+            response.send_complete(OK, headers, text.encode())
         else:
-            response.send_whole(NOT_FOUND, [], b"try /metrics or /dump\n")
+            response.send_complete(NOT_FOUND, [], b"try /metrics or /dump\n")
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/requests.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/requests.py
@@ -24,7 +24,7 @@
     StreamProgress,
     Unsent,
 )
-from pondquay_daemon.relay.crashwatch import ContentPermit
+from pondquay_daemon.relay.crashmonitor import ContentPermit
 from pondquay_daemon.relay.heads import drop_connection_headers
 from pondquay_daemon.relay.reservations import Reservation
 from pondquay_daemon.relay.retrying import RetryPermit
@@ -108,7 +108,7 @@
         try:
             refusal = self._permit.take()
             if refusal is None:
-                refusal = await self._reservation.reserve(self._metadata.most_tokens)
+                refusal = await self._reservation.reserve(self._metadata.max_tokens)
             if refusal is None:
                 refusal = await self._try_upstreams()
             if refusal is not None:
@@ -160,7 +160,7 @@
             upstreams=",".join(self._sender.sent_to),
             outcome=self._outcome,
             tokens=self._reservation.used,
-            bound=self._metadata.most_tokens,
+            bound=self._metadata.max_tokens,
             first=-1 if first is None else round(first, 3),
             pause=0 if progress is None else round(progress.longest_pause, 3),
             seconds=round(seconds, 3),
@@ -202,7 +202,7 @@
 
     async def _choose(self, sends: int) -> KnownUpstream | Refusal:
         """Return the upstream to try next, or why the request is not sent."""
-        refusal = self._permit.check_again(sends)
+        refusal = self._permit.recheck(sends)
         if refusal is not None:
             return self._give_up(refusal.reason, refusal.retry_after)
         upstream = await self._sender.place()
@@ -300,7 +300,7 @@
         headers = drop_connection_headers(outcome.head.headers)
         self._outcome = f"answered-{status}"
         self._status = str(status)
-        self._response.send_whole(status, headers, outcome.body)
+        self._response.send_complete(status, headers, outcome.body)
         return True
 
     async def _prepare_again(self, outcome: Outcome) -> Refusal | None:
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/reservations.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/reservations.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from pondquay.budgets.accounts import Refused
+from pondquay.budgets.accounts import RefusalReason
 from pondquay_daemon.relay.admission import Refusal
 
 if TYPE_CHECKING:
@@ -55,9 +55,9 @@
         if refused is None:
             self._reserved += tokens
             return None
-        if refused is Refused.EXHAUSTED:
+        if refused is RefusalReason.EXHAUSTED:
             return Refusal(PAYMENT_REQUIRED, "budget exhausted", None)
-        wait = self._accounts.come_back_after(refused)
+        wait = self._accounts.retry_after_seconds(refused)
         return Refusal(TOO_MANY_REQUESTS, f"budget {refused}", wait)
 
     def settle(self, used: int) -> None:
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/sending.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/sending.py
@@ -7,10 +7,10 @@
 
 from pondquay_daemon.logs import log_event
 from pondquay_daemon.relay.attempts import Attempt, Stopped
-from pondquay_daemon.relay.contacts import UpstreamContact
 from pondquay_daemon.relay.heads import drop_connection_headers
 from pondquay_daemon.relay.messages import Dispatch
-from pondquay_daemon.relay.permits import WAIT_SECONDS, describe_rate
+from pondquay_daemon.relay.observers import UpstreamContact
+from pondquay_daemon.relay.permits import PERMIT_WAIT_SECONDS, describe_rate
 from pondquay_daemon.relay.prefills import Prefill
 
 if TYPE_CHECKING:
@@ -95,7 +95,7 @@
         """Return the upstream to try next, ``None`` if there is none."""
         components, service = self._components, self._job.admission.service
         passed_over: set[str] = set()
-        until = components.clock.seconds() + WAIT_SECONDS
+        until = components.clock.seconds() + PERMIT_WAIT_SECONDS
         while True:
             chosen = components.placement.choose(
                 service,
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/wakewatch.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/stallmonitor.py
@@ -26,7 +26,7 @@
 STILL_SECONDS = 1.5
 
 
-class WakeWatch(Task):
+class StallMonitor(Task):
     """Tells whether the store was heard since the process last stood still.
 
     :param feeds: what has to be confirmed
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/store.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/store.py
@@ -6,12 +6,12 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, TypeAlias
 
-from pondquay.tables import Committed, Conflict, Lost, Unreachable
+from pondquay.tables import Committed, Conflict, OutcomeUnknown, Unreachable
 
 if TYPE_CHECKING:
     from pondquay.tables import JsonObject, Row, Transaction
 
-CommitReply: TypeAlias = Committed | Conflict | Unreachable | Lost
+CommitReply: TypeAlias = Committed | Conflict | Unreachable | OutcomeUnknown
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/pondquay-daemon/src/pondquay_daemon/requestattempts.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/requestattempts.py
@@ -69,7 +69,10 @@
         progress.attempts += 1
         if progress.attempts >= MAX_ATTEMPTS:
             return False
-        if progress.life.outcome() is Outcome.UNKNOWN and not progress.call.repeatable:
+        if (
+            progress.lifecycle.outcome() is Outcome.UNKNOWN
+            and not progress.call.repeatable
+        ):
             return False
         return self._retries.spend()
 
@@ -86,7 +89,7 @@
         if isinstance(error, RefusedError) and started.attempt.boot == upstream.boot:
             upstream.note_backoff(error.backoff, self._clock.seconds())
         self.avoid(progress, started)
-        progress.life.refuse()
+        progress.lifecycle.mark_not_run()
         await self._grants.settle(started.attempt, None)
 
     def avoid(self, progress: Progress, started: Started) -> None:
--- a/packages/pondquay-daemon/src/pondquay_daemon/requestclaims.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/requestclaims.py
@@ -119,7 +119,7 @@
         """Note how a claimed request ended, or release its claim if it did not run."""
         if not progress.nonce:
             return
-        outcome = progress.life.outcome()
+        outcome = progress.lifecycle.outcome()
         if outcome is Outcome.DONE:
             await self._platform.run(
                 finish_claim(progress.call.request, progress.nonce)
--- a/packages/pondquay-daemon/src/pondquay_daemon/runner.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/runner.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING, Any
 
-from pondquay.requests.lifecycle import begin_request
+from pondquay.requests.lifecycle import create_lifecycle
 from pondquay_daemon.calls import (
     CachedResponse,
     Call,
@@ -91,7 +91,7 @@
         self.index.begin(call)
         self.index.found_none(call)
         try:
-            progress = Progress(call, begin_request(repeatable=call.repeatable))
+            progress = Progress(call, create_lifecycle(repeatable=call.repeatable))
             refusal = await self._claims.claim(progress)
             response = refusal or await self._service_runs.run(progress, call)
             await self._claims.end(progress)
@@ -113,7 +113,7 @@
     async def _complete_new(
         self, call: CompletionCall, sink: FrameSink
     ) -> Delivered | Refusal:
-        progress = Progress(call, begin_request(repeatable=call.repeatable))
+        progress = Progress(call, create_lifecycle(repeatable=call.repeatable))
         if call.keyed:
             taken_over = await self._recovery.take_over(call, sink)
             if taken_over is not None:
--- a/packages/pondquay-daemon/src/pondquay_daemon/serviceruns.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/serviceruns.py
@@ -5,8 +5,8 @@
 from typing import TYPE_CHECKING
 
 from pondquay.names import name_stream
-from pondquay.routing.admission import ORDER
-from pondquay.routing.policies import Work
+from pondquay.routing.admission import PRIORITY_ORDER
+from pondquay.routing.policies import RequestProfile
 from pondquay.routing.upstreams import SERVICE
 from pondquay_daemon.calls import CachedResponse, Refusal
 from pondquay_daemon.errors import MayHaveRunError, NotSentError
@@ -50,7 +50,7 @@
                 SERVICE,
                 call.service,
                 call.workspace.partner,
-                Work(call.price, rank=ORDER.index(call.priority)),
+                RequestProfile(call.price, rank=PRIORITY_ORDER.index(call.priority)),
                 frozenset(progress.failed),
             )
             started = await self._attempts.start(progress, wish)
@@ -70,7 +70,7 @@
         self, progress: Progress, call: PlainCall, started: Started
     ) -> ServiceResponse | None:
         upstream = started.placement.upstream
-        progress.life.dispatch()
+        progress.lifecycle.dispatch()
         name = name_stream(call.request, started.attempt.id)
         try:
             response = await self._services.call(upstream.url, name, call.call)
@@ -80,10 +80,10 @@
         except MayHaveRunError as error:
             self._attempts.log_failure(call, started, error)
             self._attempts.avoid(progress, started)
-            progress.life.lose()
+            progress.lifecycle.mark_unknown()
             return None
         upstream.circuit.succeed()
-        progress.life.finish()
+        progress.lifecycle.finish()
         return response
 
     async def _finish_call(
--- a/packages/pondquay-daemon/src/pondquay_daemon/settings.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/settings.py
@@ -188,7 +188,7 @@
         section_type = SECTIONS.get(section.name)
         if section_type is None:
             hint = suggest_name(section.name, SECTIONS)
-            findings.add(section.place, section.name, f"unknown section{hint}")
+            findings.add(section.location, section.name, f"unknown section{hint}")
             continue
         value = _read_section(section, section_type, findings)
         if value is not None:
@@ -219,18 +219,18 @@
         if key in known:
             values[key] = text
             continue
-        place = section.describe_location(key)
+        location = section.describe_location(key)
         findings.add(
-            place, f"{section.name}.{key}", f"unknown{suggest_name(key, known)}"
+            location, f"{section.name}.{key}", f"unknown{suggest_name(key, known)}"
         )
     try:
         return section_type.model_validate(values)
     except ValidationError as error:
         for one in error.errors():
             key = str(one["loc"][0])
-            place = section.describe_location(key)
+            location = section.describe_location(key)
             message = one["msg"].removeprefix("Value error, ")
-            findings.add(place, f"{section.name}.{key}", message)
+            findings.add(location, f"{section.name}.{key}", message)
         return None
 
 
--- a/packages/pondquay-daemon/src/pondquay_daemon/upstreams.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/upstreams.py
@@ -11,8 +11,8 @@
 
 from pondquay.configuration.entities import Loan, Model, Priority
 from pondquay.membership.drains import read_drains
-from pondquay.routing.admission import AdmissionQueue, Waiting
-from pondquay.routing.policies import ROUTING_POLICIES, Work
+from pondquay.routing.admission import AdmissionQueue, QueuedRequest
+from pondquay.routing.policies import ROUTING_POLICIES, RequestProfile
 from pondquay.routing.upstreams import ENGINE, LoadReport, Upstream, UpstreamState
 from pondquay.tables import Unreachable
 from pondquay_daemon.logs import log_event
@@ -30,7 +30,7 @@
 LOAD_SECONDS = 0.5
 LATE_SECONDS = 0.1
 STALE_SECONDS = 5.0
-WHOLE_SHARE = 100
+TOTAL_SHARE_PERCENT = 100
 MAX_PREFIXES = 2000
 
 
@@ -47,7 +47,7 @@
     kind: str
     target: str
     partner: str
-    work: Work
+    work: RequestProfile
     excluded: frozenset[str] = frozenset()
 
 
@@ -162,7 +162,7 @@
         if content is None:
             upstream.circuit.fail(self.clock.seconds())
             return
-        upstream.take_report(self._read_report(content))
+        upstream.apply_report(self._read_report(content))
         if content.get("leaving"):
             self.mark_leaving([upstream.name])
         for prefix in content.get("cached", []):
@@ -200,7 +200,7 @@
             return placement
         entry = _Entry(wish)
         deadline = self.clock.seconds() + seconds
-        if not self._queue.push(Waiting(entry, priority, deadline)):
+        if not self._queue.push(QueuedRequest(entry, priority, deadline)):
             return None
         return await entry.placed
 
@@ -234,7 +234,7 @@
         candidates = [
             one
             for one in self.known.values()
-            if self._may_serve(one, wish, version) and one.has_room(wish.work.rank)
+            if self._may_serve(one, wish, version) and one.has_capacity(wish.work.rank)
         ]
         fresh = [one for one in candidates if one.name not in wish.excluded]
         local = [one for one in fresh if one.domain == self._domain]
@@ -260,7 +260,7 @@
         if model is None:
             return None
         digest = blake2b(str(wish.request).encode(), digest_size=4).digest()
-        point = int.from_bytes(digest, "big") % WHOLE_SHARE
+        point = int.from_bytes(digest, "big") % TOTAL_SHARE_PERCENT
         for version, share in sorted(model.versions.items()):
             if point < share:
                 return version
--- a/packages/pondquay-lab/src/pondquay_lab/budgetnodes.py
+++ b/packages/pondquay-lab/src/pondquay_lab/budgetnodes.py
@@ -8,7 +8,7 @@
 from pondquay.budgets.directory import WitnessDirectory
 from pondquay.budgets.holder import Holder
 from pondquay.budgets.holdings import Attempt, AttemptState
-from pondquay.budgets.manager import GrantManager, Refill
+from pondquay.budgets.manager import GrantManager, RefillResult
 from pondquay.budgets.messages import Recall
 from pondquay.budgets.policies import GRANT_POLICIES
 from pondquay.budgets.rows import BudgetRow, budget_key, dump_row
@@ -90,7 +90,7 @@
         """Tell whether a peer lives."""
         return self.simulation.find(peer) is not None
 
-    def is_gone(self, peer: InstanceId) -> bool:
+    def is_presumed_dead(self, peer: InstanceId) -> bool:
         """Tell whether a peer has been dead for a while."""
         if self.simulation.find(peer) is not None:
             return False
@@ -114,7 +114,7 @@
                 return attempt if attempt.state is AttemptState.ACKNOWLEDGED else None
             refill = self.manager.refill({WORKSPACE: [tokens]})
             results = self.simulation.run(self, refill)
-            if results.get(WORKSPACE) is Refill.EXHAUSTED:
+            if results.get(WORKSPACE) is RefillResult.EXHAUSTED:
                 self.recall(tokens)
         return None
 
--- a/packages/pondquay-lab/src/pondquay_lab/programs.py
+++ b/packages/pondquay-lab/src/pondquay_lab/programs.py
@@ -10,7 +10,7 @@
 from pondquay.tables import (
     Committed,
     Conflict,
-    Lost,
+    OutcomeUnknown,
     Read,
     Row,
     Rows,
@@ -54,13 +54,13 @@
         if fault is Fault.UNREACHABLE:
             return Unreachable()
         if fault is Fault.LOST_BEFORE:
-            return Lost()
+            return OutcomeUnknown()
         if fault is Fault.DELAYED:
             self.delayed.append(call)
-            return Lost()
+            return OutcomeUnknown()
         committed = self.transact(call)
         if fault is Fault.LOST_AFTER:
-            return Lost()
+            return OutcomeUnknown()
         return Committed() if committed else Conflict()
 
     def read(self, call: Read) -> Rows:
--- a/packages/pondquay-lab/src/pondquay_lab/routingruns.py
+++ b/packages/pondquay-lab/src/pondquay_lab/routingruns.py
@@ -13,7 +13,7 @@
 from random import Random
 from typing import TYPE_CHECKING
 
-from pondquay.routing.policies import ROUTING_POLICIES, Work
+from pondquay.routing.policies import ROUTING_POLICIES, RequestProfile
 from pondquay.routing.upstreams import ENGINE, LoadReport, Upstream
 
 if TYPE_CHECKING:
@@ -125,7 +125,7 @@
             Upstream(f"engine-{one}", ENGINE, "", "", "") for one in range(UPSTREAMS)
         ]
         for view in views:
-            view.take_report(LoadReport(0, SLOTS, 0.0))
+            view.apply_report(LoadReport(0, SLOTS, 0.0))
         return views
 
     def run(self) -> RoutingFigures:
@@ -158,7 +158,7 @@
             streams = engine.running + len(engine.queue)
             report = LoadReport(engine.ahead, SLOTS, self._now, streams)
             arrives = self._now + LAG_SECONDS
-            self._schedule(arrives, partial(view.take_report, report))
+            self._schedule(arrives, partial(view.apply_report, report))
         again = partial(self._ask_loads, instance)
         self._schedule(self._now + REPORT_SECONDS, again)
 
@@ -173,7 +173,7 @@
             self._schedule(self._now + 0.1, partial(self._arrive, job))
             return
         policy = self._policies[job.instance]
-        work = Work(job.tokens, rank=job.kind.rank)
+        work = RequestProfile(job.tokens, rank=job.kind.rank)
         view = policy.choose(free, work, self._random)
         view.begin(job.tokens)
         engine = self._engines[views.index(view)]
@@ -183,7 +183,7 @@
 
     def _has_room(self, view: Upstream, rank: int) -> bool:
         """Tell whether a place is free; the naive policy knows none kept for others."""
-        return self._naive or view.has_room(rank)
+        return self._naive or view.has_capacity(rank)
 
     def _refuse(self, job: Job) -> None:
         if job.arrived > WARM_SECONDS:
--- a/packages/pondquay-lab/src/pondquay_lab/slopes.py
+++ b/packages/pondquay-lab/src/pondquay_lab/slopes.py
@@ -87,7 +87,7 @@
 
 def build_attempts(count: int) -> tuple[Holder, Witness]:
     """Reserve, tell the witness, and have acknowledged as many attempts."""
-    holder, witness = Holder(ME), Witness(most_open=10 * COUNT)
+    holder, witness = Holder(ME), Witness(max_open=10 * COUNT)
     holding = holder.open("workspace", PEER)
     holder.set_amount(holding.id, 10**9)
     for number in range(count):
@@ -131,7 +131,7 @@
     upstreams = []
     for number in range(count):
         upstream = Upstream(f"engine-{number}", ENGINE, "hall-a", "http://h", "khuree")
-        upstream.take_report(LoadReport(5, 16, 1.0, 3, (("judge", "v1"),), "boot"))
+        upstream.apply_report(LoadReport(5, 16, 1.0, 3, (("judge", "v1"),), "boot"))
         upstreams.append(upstream)
     return upstreams
 
--- a/packages/pondquay/src/pondquay/billing/fold.py
+++ b/packages/pondquay/src/pondquay/billing/fold.py
@@ -149,7 +149,7 @@
     listed = yield from read_rows(prefixes=(SEGMENT_PREFIX,))
     if isinstance(listed, Unreachable):
         return listed
-    chosen = _choose_segments(listed.starting(SEGMENT_PREFIX), most_bills)
+    chosen = _choose_segments(listed.list_with_prefix(SEGMENT_PREFIX), most_bills)
     bills = [bill for row in chosen for bill in load_segment(row.value)]
     if not chosen:
         return Folded(0, 0, 0)
--- a/packages/pondquay/src/pondquay/billing/programs.py
+++ b/packages/pondquay/src/pondquay/billing/programs.py
@@ -77,13 +77,13 @@
     if isinstance(rows, Unreachable):
         return rows
     requests = {}
-    for row in rows.starting(prefix):
+    for row in rows.list_with_prefix(prefix):
         billed = load_billed(row)
         if billed is not None:
             requests[row.key.removeprefix(prefix)] = billed
     pending = tuple(
         bill
-        for row in rows.starting(SEGMENT_PREFIX)
+        for row in rows.list_with_prefix(SEGMENT_PREFIX)
         for bill in load_segment(row.value)
         if bill.workspace == workspace
     )
@@ -98,5 +98,5 @@
         return rows
     return {
         row.key.removeprefix(ACCOUNT_PREFIX): load_account(row)
-        for row in rows.starting(ACCOUNT_PREFIX)
+        for row in rows.list_with_prefix(ACCOUNT_PREFIX)
     }
--- a/packages/pondquay/src/pondquay/budgets/accounts.py
+++ b/packages/pondquay/src/pondquay/budgets/accounts.py
@@ -25,7 +25,7 @@
 AHEAD_PART = 0.25
 
 
-class Refused(StrEnum):
+class RefusalReason(StrEnum):
     """Why tokens could not be reserved.
 
     ``EXHAUSTED`` is said only where the row shows that no instance can have them;
@@ -106,7 +106,7 @@
     :param used: tokens that requests ran for
     :param reserved: tokens that requests which run now may use
     :param version: of the row as last known, ``None`` if it never was read
-    :param wanted: tokens that a request waits for, 0 if none does
+    :param requested: tokens that a request waits for, 0 if none does
     :param policy: the figures that plans go by
     """
 
@@ -120,7 +120,7 @@
     version: int | None = None
     row: AllotmentRow = EMPTY_ROW
     demand: Demand = field(default_factory=Demand)
-    wanted: int = 0
+    requested: int = 0
     policy: RelayPolicy = DEFAULT_POLICY
     _lowered: int | None = None
 
@@ -129,17 +129,17 @@
         """Tokens that may be reserved now; below zero never spends."""
         return self.ceiling - self.spent - self.reserved
 
-    def reserve(self, tokens: int) -> Refused | None:
+    def reserve(self, tokens: int) -> RefusalReason | None:
         """Set tokens aside before a request is sent, ``None`` if that succeeded."""
         kept = self._kept_from(tokens)
-        if tokens <= self.unspent and tokens + kept <= self.left():
+        if tokens <= self.unspent and tokens + kept <= self.remaining():
             self.reserved += tokens
             return None
         if self.version is None:
-            return Refused.UNKNOWN
+            return RefusalReason.UNKNOWN
         if self._surely_spent() + tokens + kept > self.prepaid:
-            return Refused.EXHAUSTED
-        return Refused.KEPT if tokens <= self.unspent else Refused.ELSEWHERE
+            return RefusalReason.EXHAUSTED
+        return RefusalReason.KEPT if tokens <= self.unspent else RefusalReason.ELSEWHERE
 
     def settle(self, reserved: int, used: int) -> None:
         """Replace a reservation by what was used of it."""
@@ -202,13 +202,13 @@
         entry = Allotment(self.boot, ceiling, self.used, rate, lent)
         return Change(self.row.with_entry(self.holder, entry), ceiling)
 
-    def begin(self, change: Change) -> None:
+    def begin_write(self, change: Change) -> None:
         """Be about to write a change: a lower ceiling counts from now on."""
         if change.ceiling < self.ceiling:
             self.ceiling = change.ceiling
             self._lowered = change.ceiling
 
-    def confirm(self, change: Change, version: int) -> None:
+    def confirm_write(self, change: Change, version: int) -> None:
         """Learn that a change was written."""
         self.row = change.row
         self.version = version
@@ -240,7 +240,7 @@
             "held_by_others": sum(one.unspent for one in others),
             "unaccounted": self.row.closed - self.row.closed_spent,
             "free": self.free(),
-            "left": self.left(),
+            "left": self.remaining(),
             "row": self.version or 0,
         }
 
@@ -265,7 +265,7 @@
         stored = 0 if entry is None else entry.ceiling
         return max(0, self.free() + stored - self.spent - self.reserved)
 
-    def left(self) -> int:
+    def remaining(self) -> int:
         """Tokens that the workspace may still spend, by what is known here.
 
         What is free and what is unspent here are among them; what others borrowed is
--- a/packages/pondquay/src/pondquay/budgets/closer.py
+++ b/packages/pondquay/src/pondquay/budgets/closer.py
@@ -24,15 +24,15 @@
 
 
 @dataclass(slots=True)
-class Progress:
+class MaintenanceResult:
     """What a program has brought about that others wait for.
 
-    :param safe: attempts whose bills are in the table now
+    :param recorded: attempts whose bills are in the table now
     :param refused: attempts that will not run
     :param notices: word for witnesses
     """
 
-    safe: list[Attempt] = field(default_factory=list)
+    recorded: list[Attempt] = field(default_factory=list)
     refused: list[Attempt] = field(default_factory=list)
     notices: list[tuple[InstanceId, Forget]] = field(default_factory=list)
 
@@ -54,14 +54,14 @@
         self._is_pending = is_pending
         self._next_segment = next_segment
 
-    def close_closing(self, progress: Progress) -> Program[None]:
+    def close_closing(self, progress: MaintenanceResult) -> Program[None]:
         """Close all grants that are never drawn on again."""
         for holding in self._holder.list_holdings():
             closing = holding.state is HoldingState.CLOSING
             if closing and not self._is_pending(holding):
                 yield from self._close(holding, progress)
 
-    def _close(self, holding: Holding, progress: Progress) -> Program[None]:
+    def _close(self, holding: Holding, progress: MaintenanceResult) -> Program[None]:
         closing = self._holder.describe_close(holding, self._next_segment())
         settled = list(holding.settled())
         outcome = yield from close_grant(closing)
@@ -71,12 +71,12 @@
             resolved = yield from self._resolve(holding, settled)
             if not resolved:
                 return
-        progress.safe += settled
+        progress.recorded += settled
         forget = self._holder.note_closed(holding, settled)
         if forget is not None and holding.witness is not None and outcome.by_us:
             progress.notices.append((holding.witness, forget))
 
-    def settle_closed(self, progress: Progress) -> Program[None]:
+    def settle_closed(self, progress: MaintenanceResult) -> Program[None]:
         """Write ends of attempts that came after their grant was closed."""
         for holding in self._holder.list_holdings():
             settled = list(holding.settled())
@@ -84,7 +84,7 @@
                 continue
             resolved = yield from self._resolve(holding, settled)
             if resolved:
-                progress.safe += settled
+                progress.recorded += settled
                 self._holder.note_closed(holding, settled)
 
     def _resolve(self, holding: Holding, settled: Sequence[Attempt]) -> Program[bool]:
--- a/packages/pondquay/src/pondquay/budgets/closings.py
+++ b/packages/pondquay/src/pondquay/budgets/closings.py
@@ -25,7 +25,7 @@
     ABSENT,
     Committed,
     Condition,
-    Lost,
+    OutcomeUnknown,
     Rows,
     Transaction,
     Unreachable,
@@ -70,7 +70,7 @@
     by_us: bool
 
 
-CloseOutcome = Closed | Unreachable | Lost
+CloseOutcome = Closed | Unreachable | OutcomeUnknown
 
 
 def close_grant(closing: Closing) -> Program[CloseOutcome]:
@@ -92,7 +92,7 @@
         reply = yield from commit_rows(transaction)
         if isinstance(reply, Committed):
             return Closed(by_us=True)
-        if isinstance(reply, Unreachable | Lost):
+        if isinstance(reply, Unreachable | OutcomeUnknown):
             return reply
     return Unreachable()
 
@@ -146,7 +146,7 @@
     resolutions: Sequence[Resolution],
     bills: Sequence[Bill],
     segment: str,
-) -> Program[Resolved | Unreachable | Lost]:
+) -> Program[Resolved | Unreachable | OutcomeUnknown]:
     """Settle attempts that a sealed grant still holds, each once by its sequence.
 
     :param bills: the bills of those resolutions that are billed
@@ -170,7 +170,7 @@
         reply = yield from commit_rows(transaction)
         if isinstance(reply, Committed):
             return Resolved()
-        if isinstance(reply, Unreachable | Lost):
+        if isinstance(reply, Unreachable | OutcomeUnknown):
             return reply
     return Unreachable()
 
--- a/packages/pondquay/src/pondquay/budgets/demands.py
+++ b/packages/pondquay/src/pondquay/budgets/demands.py
@@ -96,11 +96,15 @@
             demand.reserved = 0
 
     def view(
-        self, workspace: str, wanted: int, holdings: Sequence[Holding], instances: int
+        self,
+        workspace: str,
+        requested: int,
+        holdings: Sequence[Holding],
+        instances: int,
     ) -> GrantView:
         """Return what a policy is told of a workspace.
 
-        :param wanted: tokens that waiting requests need now
+        :param requested: tokens that waiting requests need now
         :param holdings: this instance's grants of the workspace
         """
         demand = self.find(workspace)
@@ -108,12 +112,12 @@
         return GrantView(
             limit=0 if budget is None else budget.limit,
             free=0 if budget is None else budget.free,
-            left=0 if budget is None else budget.left,
+            remaining=0 if budget is None else budget.remaining,
             holding=sum(one.free for one in holdings),
             running=sum(one.reserved for one in holdings),
             rate=demand.rate,
             fleet_rate=demand.fleet_rate(holdings, instances),
             instances=instances,
-            wanted=wanted,
+            requested=requested,
             largest=demand.largest,
         )
--- a/packages/pondquay/src/pondquay/budgets/directory.py
+++ b/packages/pondquay/src/pondquay/budgets/directory.py
@@ -21,7 +21,7 @@
         """Tell whether a peer can be expected to answer now."""
 
     @abstractmethod
-    def is_gone(self, peer: InstanceId) -> bool:
+    def is_presumed_dead(self, peer: InstanceId) -> bool:
         """Tell whether a peer has been silent for so long that others replace it."""
 
     @abstractmethod
--- a/packages/pondquay/src/pondquay/budgets/headroom.py
+++ b/packages/pondquay/src/pondquay/budgets/headroom.py
@@ -48,7 +48,8 @@
     if rate == 0.0:
         need = FIRST_OF_PREPAID * account.prepaid
     most = min(
-        MAX_OF_PREPAID * account.prepaid, account.policy.most_of_left * account.left()
+        MAX_OF_PREPAID * account.prepaid,
+        account.policy.most_of_left * account.remaining(),
     )
     return min(need, most)
 
@@ -78,9 +79,9 @@
     It is the instance's part, by its part of the demand, of what all may keep ahead, if
     a request fits into that; what is less would lie idle.
     """
-    left = max(0, account.left())
-    fair = account.policy.most_of_left * left * part_of_demand(account, now)
-    least = account.policy.borrowed_of_left * left
+    remaining = max(0, account.remaining())
+    fair = account.policy.most_of_left * remaining * part_of_demand(account, now)
+    least = account.policy.borrowed_of_left * remaining
     return fair if fair >= max(least, account.demand.largest) else least
 
 
@@ -139,9 +140,9 @@
     The most that is waited for counts, unless the row has nothing for it: a large
     request that can only be refused must not keep the last tokens from small ones.
     """
-    if _room_for(account, account.wanted) <= account.unspent:
-        account.wanted = 0
-    account.wanted = max(account.wanted, tokens)
+    if _room_for(account, account.requested) <= account.unspent:
+        account.requested = 0
+    account.requested = max(account.requested, tokens)
 
 
 def _room_for(account: Account, tokens: int) -> int:
@@ -165,10 +166,10 @@
         return min(most, max(unspent, target))
     if account.free() < 0:
         return min(unspent, most) if unspent > most else None
-    room = _room_for(account, account.wanted)
-    if unspent < account.wanted <= room:
-        return max(min(ordinary, target), account.wanted)
-    if unspent < room < account.wanted <= room + lent_at_most(account):
+    room = _room_for(account, account.requested)
+    if unspent < account.requested <= room:
+        return max(min(ordinary, target), account.requested)
+    if unspent < room < account.requested <= room + lent_at_most(account):
         # The rest is borrowed. Otherwise a request that fits into what is left could be
         # refused for ever, with some of it in the row and some with each instance.
         return room
--- a/packages/pondquay/src/pondquay/budgets/holder.py
+++ b/packages/pondquay/src/pondquay/budgets/holder.py
@@ -190,7 +190,7 @@
                 messages.extend(_take_holding_messages(holding))
         return messages
 
-    def forget_connection(self, witness: InstanceId) -> None:
+    def requeue_unconfirmed(self, witness: InstanceId) -> None:
         """Send everything unanswered again on the next connection to a witness."""
         for holding in self.holdings.values():
             if holding.witness == witness:
--- a/packages/pondquay/src/pondquay/budgets/manager.py
+++ b/packages/pondquay/src/pondquay/budgets/manager.py
@@ -13,7 +13,7 @@
 
 from pondquay.billing.bills import segment_key
 from pondquay.billing.programs import Written, write_segment
-from pondquay.budgets.closer import GrantCloser, Progress
+from pondquay.budgets.closer import GrantCloser, MaintenanceResult
 from pondquay.budgets.demands import SECONDS_AN_HOUR, DemandBook
 from pondquay.budgets.holdings import Attempt, Holding, HoldingState
 from pondquay.budgets.programs import (
@@ -42,7 +42,7 @@
 REPORT_DRIFT = 0.05
 
 
-class Refill(StrEnum):
+class RefillResult(StrEnum):
     """What a request for more tokens came to."""
 
     GAINED = "gained"
@@ -71,11 +71,11 @@
         self._closer = GrantCloser(holder, self._is_pending, self._next_segment)
         self._probing = False
 
-    def _decide(self, workspace: str, wanted: int) -> int:
+    def _decide(self, workspace: str, requested: int) -> int:
         """Return the tokens that the policy would add, negative to give back."""
         holdings = self.holder.of_workspace(workspace)
         instances = self._directory.count() + 1
-        view = self.demands.view(workspace, wanted, holdings, instances)
+        view = self.demands.view(workspace, requested, holdings, instances)
         return self._policy.decide(view)
 
     # Refilling and giving back
@@ -84,15 +84,17 @@
         """Tell whether a grant with this witness can be drawn on now."""
         return witness is None or self._directory.is_usable(witness)
 
-    def refill(self, wanted: Mapping[str, Sequence[int]]) -> Program[dict[str, Refill]]:
+    def refill(
+        self, requested: Mapping[str, Sequence[int]]
+    ) -> Program[dict[str, RefillResult]]:
         """Ask for what waiting requests need, for all workspaces in one transaction.
 
-        :param wanted: tokens of each waiting request, by workspace
+        :param requested: tokens of each waiting request, by workspace
         """
-        yield from self._read_budgets(wanted)
+        yield from self._read_budgets(requested)
         planned = [
             one
-            for workspace, tokens in wanted.items()
+            for workspace, tokens in requested.items()
             for one in self._plan_refill(workspace, tokens)
         ]
         return (yield from self._adjust(planned))
@@ -127,11 +129,11 @@
             yield from self.return_tokens(recall.workspace, tokens)
 
     def _plan_refill(self, workspace: str, tokens: Sequence[int]) -> list[Adjustment]:
-        wanted = sum(tokens)
+        requested = sum(tokens)
         holding = self._choose_holding(workspace)
-        decided = self._decide(workspace, wanted)
+        decided = self._decide(workspace, requested)
         merged = self._merge(workspace, holding)
-        delta = max(wanted, decided) + sum(-one.delta for one in merged)
+        delta = max(requested, decided) + sum(-one.delta for one in merged)
         least = min(tokens) - holding.free
         return [*merged, self._adjustment(holding, delta, max(1, least))]
 
@@ -205,7 +207,9 @@
     def _is_pending(self, holding: Holding) -> bool:
         return any(one.grant == holding.id for one in self.unknown)
 
-    def _adjust(self, planned: Sequence[Adjustment]) -> Program[dict[str, Refill]]:
+    def _adjust(
+        self, planned: Sequence[Adjustment]
+    ) -> Program[dict[str, RefillResult]]:
         """Carry adjustments out; return what came of them for each workspace."""
         yield from self._learn()
         if self.unknown:
@@ -227,22 +231,22 @@
 
     def _take_outcome(
         self, planned: Sequence[Adjustment], outcome: AdjustOutcome
-    ) -> dict[str, Refill]:
+    ) -> dict[str, RefillResult]:
         if isinstance(outcome, AdjustmentsUnknown):
             self.unknown.extend(planned)
             return {}
         if isinstance(outcome, Unreachable):
             self._undo(planned)
             return {}
-        results: dict[str, Refill] = {}
+        results: dict[str, RefillResult] = {}
         for one in outcome:
             workspace = one.adjustment.workspace
             if self._take_adjusted(one):
-                results[workspace] = Refill.GAINED
+                results[workspace] = RefillResult.GAINED
             elif one.lost_grant:
-                results.setdefault(workspace, Refill.GRANT_LOST)
+                results.setdefault(workspace, RefillResult.GRANT_LOST)
             else:
-                results.setdefault(workspace, Refill.EXHAUSTED)
+                results.setdefault(workspace, RefillResult.EXHAUSTED)
         return results
 
     def _undo(self, planned: Sequence[Adjustment]) -> None:
@@ -271,16 +275,16 @@
 
     # Maintenance
 
-    def maintain(self, *, rebalance: bool = True) -> Program[Progress]:
+    def maintain(self, *, rebalance: bool = True) -> Program[MaintenanceResult]:
         """Close grants that cannot be used, and keep the others as the policy says.
 
         :param rebalance: refill ahead of need and give back what is too much
         """
-        progress = Progress()
+        progress = MaintenanceResult()
         yield from self._learn()
         for holding in self.holder.list_holdings():
             witness = holding.witness
-            gone = witness is not None and self._directory.is_gone(witness)
+            gone = witness is not None and self._directory.is_presumed_dead(witness)
             if holding.state is HoldingState.OPEN and gone:
                 progress.refused += self.holder.begin_close(holding)
         yield from self._closer.close_closing(progress)
@@ -289,9 +293,9 @@
             yield from self._rebalance()
         return progress
 
-    def close_all(self) -> Program[Progress]:
+    def close_all(self) -> Program[MaintenanceResult]:
         """Close every grant, for a planned stop."""
-        progress = Progress()
+        progress = MaintenanceResult()
         yield from self._learn()
         for holding in self.holder.list_holdings():
             progress.refused += self.holder.begin_close(holding)
--- a/packages/pondquay/src/pondquay/budgets/policies.py
+++ b/packages/pondquay/src/pondquay/budgets/policies.py
@@ -14,25 +14,25 @@
 
     :param limit: the budget's limit as last read
     :param free: tokens of the budget that nobody holds, as last read
-    :param left: tokens of the budget that are not known to be spent
+    :param remaining: tokens of the budget that are not known to be spent
     :param holding: tokens that this instance can reserve now
     :param running: tokens that this instance has reserved
     :param rate: tokens a second that this instance spends
     :param fleet_rate: tokens a second that all instances spend, as far as known
     :param instances: instances that draw on the budget, as far as known
-    :param wanted: tokens that waiting requests need now
+    :param requested: tokens that waiting requests need now
     :param largest: the most that a recent request reserved
     """
 
     limit: int
     free: int
-    left: int
+    remaining: int
     holding: int
     running: int
     rate: float
     fleet_rate: float
     instances: int
-    wanted: int
+    requested: int
     largest: int = 0
 
 
--- a/packages/pondquay/src/pondquay/budgets/programs.py
+++ b/packages/pondquay/src/pondquay/budgets/programs.py
@@ -25,7 +25,7 @@
     Committed,
     Condition,
     Conflict,
-    Lost,
+    OutcomeUnknown,
     Rows,
     Transaction,
     Unreachable,
@@ -115,7 +115,7 @@
             return planned.adjusted
         if isinstance(reply, Unreachable):
             return reply
-        if isinstance(reply, Lost):
+        if isinstance(reply, OutcomeUnknown):
             return AdjustmentsUnknown(tuple(adjustments))
     return Unreachable()
 
@@ -259,21 +259,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StandingGrant:
+class StoredGrant:
     """A grant as its row stands in the table."""
 
     grant: GrantId
     row: GrantRow
 
 
-def list_grants() -> Program[tuple[StandingGrant, ...] | Unreachable]:
+def list_grants() -> Program[tuple[StoredGrant, ...] | Unreachable]:
     """Read every grant that stands in the table."""
     rows = yield from read_rows(prefixes=(GRANT_PREFIX,))
     if isinstance(rows, Unreachable):
         return rows
     found = []
-    for row in rows.starting(GRANT_PREFIX):
+    for row in rows.list_with_prefix(GRANT_PREFIX):
         grant = load_grant(row)
         if grant is not None:
-            found.append(StandingGrant(parse_grant_key(row.key), grant))
+            found.append(StoredGrant(parse_grant_key(row.key), grant))
     return tuple(found)
--- a/packages/pondquay/src/pondquay/budgets/rows.py
+++ b/packages/pondquay/src/pondquay/budgets/rows.py
@@ -52,7 +52,7 @@
         return max(0, self.limit - self.granted)
 
     @property
-    def left(self) -> int:
+    def remaining(self) -> int:
         """Tokens that are not known to be spent, granted or not."""
         return max(0, self.limit - self.used)
 
--- a/packages/pondquay/src/pondquay/budgets/sizing.py
+++ b/packages/pondquay/src/pondquay/budgets/sizing.py
@@ -9,7 +9,7 @@
 SLACK = 0.05
 # Part of a budget that all instances together hold where no demand was seen yet, so
 # that each can serve if the table is away when the first request comes.
-BASE_PART = 0.05
+BASE_FRACTION = 0.05
 
 
 @GRANT_POLICIES.register("equal-split")
@@ -19,7 +19,7 @@
     def decide(self, view: GrantView) -> int:
         """Fill up to an equal part once less than a tenth of it is left."""
         part = view.limit // max(1, view.instances)
-        if view.wanted == 0 and view.holding * 10 > part:
+        if view.requested == 0 and view.holding * 10 > part:
             return 0
         return min(view.free, max(0, part - view.holding - view.running))
 
@@ -35,11 +35,11 @@
 
     def decide(self, view: GrantView) -> int:
         """Move to the target once the distance is worth a write."""
-        target = max(view.wanted, self._target(view))
+        target = max(view.requested, self._target(view))
         distance = target - view.holding - view.running
         slack = max(view.largest, int(SLACK * target))
-        if view.wanted:
-            return min(view.free, max(distance, view.wanted))
+        if view.requested:
+            return min(view.free, max(distance, view.requested))
         if distance > slack:
             return min(view.free, distance)
         if distance < -slack:
@@ -52,5 +52,5 @@
             share = 1.0 / (4 * max(1, view.instances))
         longest = max(MIN_REQUESTS * view.largest, int(view.rate * RESERVE_SECONDS))
         if view.largest == 0:
-            longest = int(BASE_PART * view.limit / max(1, view.instances))
-        return min(longest, int(view.left * min(1.0, share)))
+            longest = int(BASE_FRACTION * view.limit / max(1, view.instances))
+        return min(longest, int(view.remaining * min(1.0, share)))
--- a/packages/pondquay/src/pondquay/budgets/succession.py
+++ b/packages/pondquay/src/pondquay/budgets/succession.py
@@ -66,7 +66,7 @@
         """Seal the grants of holders that are gone; return those newly sealed."""
         newly = []
         for holder in self._witness.holders():
-            if not self._directory.is_gone(holder):
+            if not self._directory.is_presumed_dead(holder):
                 continue
             for grant in self._witness.of_holder(holder):
                 if grant.id not in self.sealed:
@@ -79,7 +79,7 @@
         self._witness.seal(grant, workspace)
         self.sealed.setdefault(grant, SealedGrant(grant))
 
-    def seal_unheard(self, holder: InstanceId) -> Program[None]:
+    def seal_unknown_grants(self, holder: InstanceId) -> Program[None]:
         """Seal grants that name us as witness and of which we never heard.
 
         That is a refill whose answer was lost, after which the holder died. A holder
@@ -89,7 +89,7 @@
         rows = yield from read_rows(prefixes=(holder_prefix(holder),))
         if isinstance(rows, Unreachable):
             return
-        for row in rows.starting(holder_prefix(holder)):
+        for row in rows.list_with_prefix(holder_prefix(holder)):
             grant = load_grant(row)
             if grant is None or grant.witness_id != self.instance:
                 continue
--- a/packages/pondquay/src/pondquay/budgets/witness.py
+++ b/packages/pondquay/src/pondquay/budgets/witness.py
@@ -78,17 +78,15 @@
 class Witness:
     """All grants of other instances that one instance witnesses.
 
-    :param most_grants: grants kept at most; further ones are refused
-    :param most_open: open attempts kept at most for one grant
+    :param max_grants: grants kept at most; further ones are refused
+    :param max_open: open attempts kept at most for one grant
     """
 
-    def __init__(
-        self, most_grants: int = MAX_GRANTS, most_open: int = MAX_OPEN
-    ) -> None:
+    def __init__(self, max_grants: int = MAX_GRANTS, max_open: int = MAX_OPEN) -> None:
         self.grants: dict[GrantId, WitnessedGrant] = {}
         self._highest: dict[InstanceId, int] = {}
-        self._most_grants = most_grants
-        self._most_open = most_open
+        self._max_grants = max_grants
+        self._max_open = max_open
 
     def receive(self, message: HolderMessage) -> WitnessMessage | None:
         """Take in a holder's message and return the answer to it, if it has one."""
@@ -107,7 +105,7 @@
         grant = self._open_grant(message.grant, message.workspace)
         if grant is None or grant.sealed:
             return Refuse(message.grant)
-        if len(grant.open) + len(message.intents) > self._most_open:
+        if len(grant.open) + len(message.intents) > self._max_open:
             return Refuse(message.grant)
         for intent in message.intents:
             if not grant.has_ended(intent.seq):
@@ -125,7 +123,7 @@
             return grant
         if grant_id.number <= self._highest.get(grant_id.holder, 0):
             return None
-        if len(self.grants) >= self._most_grants:
+        if len(self.grants) >= self._max_grants:
             return None
         self._highest[grant_id.holder] = grant_id.number
         grant = WitnessedGrant(grant_id, workspace)
--- a/packages/pondquay/src/pondquay/configuration/changes.py
+++ b/packages/pondquay/src/pondquay/configuration/changes.py
@@ -29,7 +29,7 @@
         assert entity is not None
         return f"{entity.kind} {entity.name}"
 
-    def consenting(self) -> frozenset[str]:
+    def required_consents(self) -> frozenset[str]:
         """Return the partners that must agree."""
-        sides = [one.consenting() for one in (self.before, self.after) if one]
+        sides = [one.required_consents() for one in (self.before, self.after) if one]
         return frozenset().union(*sides)
--- a/packages/pondquay/src/pondquay/configuration/entities.py
+++ b/packages/pondquay/src/pondquay/configuration/entities.py
@@ -10,7 +10,7 @@
 MAX_TOKENS = 10**15
 NAME_PATTERN = r"^[a-z0-9][a-z0-9.-]{0,62}$"
 DIGEST_PATTERN = r"^sha256:[0-9a-f]{64}$"
-WHOLE_SHARE = 100
+TOTAL_SHARE_PERCENT = 100
 
 Name: TypeAlias = Annotated[str, Field(pattern=NAME_PATTERN)]
 Tokens: TypeAlias = Annotated[int, Field(ge=0, le=MAX_TOKENS)]
@@ -36,7 +36,7 @@
     name: Name
     partner: Name
 
-    def consenting(self) -> frozenset[str]:
+    def required_consents(self) -> frozenset[str]:
         """Return the partners that must agree to a change of this entity."""
         return frozenset({self.partner})
 
@@ -82,14 +82,14 @@
 
     kind: Literal["model"] = "model"
     output_limit: Annotated[int, Field(ge=1, le=10**6)] = 1024
-    versions: dict[Name, Annotated[int, Field(ge=0, le=WHOLE_SHARE)]]
+    versions: dict[Name, Annotated[int, Field(ge=0, le=TOTAL_SHARE_PERCENT)]]
 
     @field_validator("versions")
     @classmethod
     def check_shares(cls, versions: dict[str, int]) -> dict[str, int]:
         """Refuse shares that do not make a whole."""
-        if sum(versions.values()) != WHOLE_SHARE:
-            raise ValueError(f"shares must add up to {WHOLE_SHARE}")
+        if sum(versions.values()) != TOTAL_SHARE_PERCENT:
+            raise ValueError(f"shares must add up to {TOTAL_SHARE_PERCENT}")
         return versions
 
 
@@ -105,7 +105,7 @@
     borrower: Name
     replicas: Annotated[int, Field(ge=0, le=10**4)]
 
-    def consenting(self) -> frozenset[str]:
+    def required_consents(self) -> frozenset[str]:
         """Both sides must agree to a loan."""
         return frozenset({self.partner, self.borrower})
 
