--- a/packages/pondquay/src/pondquay/configuration/intents.py
+++ b/packages/pondquay/src/pondquay/configuration/intents.py
@@ -21,7 +21,7 @@
 class Intent:
     """What a partner wants: entities as they shall be, and identities that shall go."""
 
-    wanted: tuple[Entity, ...]
+    entities: tuple[Entity, ...]
     removed: tuple[str, ...]
 
 
@@ -36,23 +36,23 @@
     """
     findings = Findings()
     document = read_ini(text, source, findings)
-    wanted: list[Entity] = []
+    entities: list[Entity] = []
     removed: list[str] = []
     for section in document.sections:
         kind, _, name = section.name.partition(" ")
         entity_type = ENTITY_TYPES.get(kind)
         if entity_type is None:
             hint = suggest_name(kind, ENTITY_TYPES)
-            findings.add(section.place, section.name, f"unknown kind {kind!r}{hint}")
+            findings.add(section.location, section.name, f"unknown kind {kind!r}{hint}")
             continue
         if set(section.values) == {REMOVE}:
             removed.append(section.name)
             continue
         entity = _read_entity(section, entity_type, name.strip(), partner, findings)
         if entity is not None:
-            wanted.append(entity)
+            entities.append(entity)
     findings.raise_if_any()
-    return Intent(tuple(wanted), tuple(removed))
+    return Intent(tuple(entities), tuple(removed))
 
 
 def _read_entity(
--- a/packages/pondquay/src/pondquay/configuration/plans.py
+++ b/packages/pondquay/src/pondquay/configuration/plans.py
@@ -47,11 +47,11 @@
     state: PlanState = PlanState.PROPOSED
     version: int | None = None
 
-    def missing(self) -> frozenset[str]:
+    def missing_consents(self) -> frozenset[str]:
         """Return the partners whose consent is still missing."""
         needed: frozenset[str] = frozenset()
         for change in self.changes:
-            needed |= change.consenting()
+            needed |= change.required_consents()
         return needed - frozenset(self.consents)
 
 
@@ -124,7 +124,7 @@
     after: Entity | None,
 ) -> None:
     for entity in (before, after):
-        if entity is not None and partner not in entity.consenting():
+        if entity is not None and partner not in entity.required_consents():
             findings.add("intent", identity, f"belongs to partner {entity.partner}")
             return
 
--- a/packages/pondquay/src/pondquay/configuration/programs.py
+++ b/packages/pondquay/src/pondquay/configuration/programs.py
@@ -14,7 +14,7 @@
     Committed,
     Condition,
     Conflict,
-    Lost,
+    OutcomeUnknown,
     Rows,
     Transaction,
     Unreachable,
@@ -102,7 +102,7 @@
     | BudgetTooLow
     | PlanUnknown
     | Unreachable
-    | Lost
+    | OutcomeUnknown
 )
 
 
@@ -165,7 +165,7 @@
 
     :returns: ``None`` if another transaction came first and all is to be read again
     """
-    if plan.missing():
+    if plan.missing_consents():
         transaction = _consent_transaction(plan, rows)
         outcome: ConfirmOutcome = AwaitingConsent(plan)
     else:
@@ -270,7 +270,9 @@
     rows = yield from read_rows(prefixes=(PLAN_PREFIX,))
     if isinstance(rows, Unreachable):
         return rows
-    return tuple(Plan.model_validate(row.value) for row in rows.starting(PLAN_PREFIX))
+    return tuple(
+        Plan.model_validate(row.value) for row in rows.list_with_prefix(PLAN_PREFIX)
+    )
 
 
 def read_plan(plan_id: str) -> Program[Plan | PlanUnknown | Unreachable]:
--- a/packages/pondquay/src/pondquay/errors.py
+++ b/packages/pondquay/src/pondquay/errors.py
@@ -13,17 +13,17 @@
 class Finding:
     """One thing that is wrong.
 
-    :param place: where, as ``file:line`` or as a field's path
+    :param location: where, as ``file:line`` or as a field's path
     :param subject: the key or field concerned
     :param message: what is wrong, in words for a person
     """
 
-    place: str
+    location: str
     subject: str
     message: str
 
     def __str__(self) -> str:
-        return f"{self.place}: {self.subject}: {self.message}"
+        return f"{self.location}: {self.subject}: {self.message}"
 
 
 class PondquayError(Exception):
--- a/packages/pondquay/src/pondquay/findings.py
+++ b/packages/pondquay/src/pondquay/findings.py
@@ -18,9 +18,9 @@
 
     found: list[Finding] = field(default_factory=list)
 
-    def add(self, place: str, subject: str, message: str) -> None:
+    def add(self, location: str, subject: str, message: str) -> None:
         """Note one finding."""
-        self.found.append(Finding(place, subject, message))
+        self.found.append(Finding(location, subject, message))
 
     def raise_if_any(self) -> None:
         """Report all findings at once.
--- a/packages/pondquay/src/pondquay/ini.py
+++ b/packages/pondquay/src/pondquay/ini.py
@@ -19,7 +19,7 @@
 class IniSection:
     """One section.
 
-    :param place: ``file:line`` of its heading
+    :param location: ``file:line`` of its heading
     :param lines: the line of each key
     """
 
@@ -30,7 +30,7 @@
     lines: dict[str, int] = field(default_factory=dict)
 
     @property
-    def place(self) -> str:
+    def location(self) -> str:
         """Where the section begins."""
         return f"{self.source}:{self.line}"
 
--- a/packages/pondquay/src/pondquay/membership/peers.py
+++ b/packages/pondquay/src/pondquay/membership/peers.py
@@ -53,7 +53,7 @@
         peer.last_seen_at = now
         peer.connected = True
 
-    def disconnect(self, instance: InstanceId) -> None:
+    def note_disconnected(self, instance: InstanceId) -> None:
         """Note that the link to a peer broke."""
         peer = self.known.get(instance)
         if peer is not None:
--- a/packages/pondquay/src/pondquay/requests/lifecycle.py
+++ b/packages/pondquay/src/pondquay/requests/lifecycle.py
@@ -27,10 +27,10 @@
     def dispatch(self) -> None:
         """Be about to write it to an upstream."""
 
-    def refuse(self) -> None:
+    def mark_not_run(self) -> None:
         """Learn that this attempt certainly did not run."""
 
-    def lose(self) -> None:
+    def mark_unknown(self) -> None:
         """Lose sight of an attempt that may have run."""
 
     def finish(self) -> None:
@@ -54,13 +54,13 @@
     done = builder.state("done")
 
     waiting.upon(RequestLifecycle.dispatch).to(running).returns(None)
-    running.upon(RequestLifecycle.refuse).to(waiting).returns(None)
-    running.upon(RequestLifecycle.lose).to(lost).returns(None)
+    running.upon(RequestLifecycle.mark_not_run).to(waiting).returns(None)
+    running.upon(RequestLifecycle.mark_unknown).to(lost).returns(None)
     running.upon(RequestLifecycle.finish).to(done).returns(None)
     if repeatable:
         lost.upon(RequestLifecycle.dispatch).to(running_again).returns(None)
-        running_again.upon(RequestLifecycle.refuse).to(lost).returns(None)
-        running_again.upon(RequestLifecycle.lose).to(lost).returns(None)
+        running_again.upon(RequestLifecycle.mark_not_run).to(lost).returns(None)
+        running_again.upon(RequestLifecycle.mark_unknown).to(lost).returns(None)
         running_again.upon(RequestLifecycle.finish).to(done).returns(None)
 
     for state in (running, lost, running_again):
@@ -74,7 +74,7 @@
 _BUILD_ONCE = _build(repeatable=False).build()
 
 
-def begin_request(*, repeatable: bool) -> RequestLifecycle:
+def create_lifecycle(*, repeatable: bool) -> RequestLifecycle:
     """Return the life of a new request.
 
     :param repeatable: whether it may be dispatched again after an attempt that may
--- a/packages/pondquay/src/pondquay/routing/admission.py
+++ b/packages/pondquay/src/pondquay/routing/admission.py
@@ -13,11 +13,11 @@
 
 T = TypeVar("T")
 MAX_WAITING = 256
-ORDER = (Priority.HIGH, Priority.NORMAL, Priority.LOW)
+PRIORITY_ORDER = (Priority.HIGH, Priority.NORMAL, Priority.LOW)
 
 
 @dataclass(frozen=True, slots=True)
-class Waiting(Generic[T]):
+class QueuedRequest(Generic[T]):
     """A request that waits for a place.
 
     :param deadline: when it has to be refused, in seconds
@@ -35,15 +35,15 @@
     """
 
     def __init__(self, most_waiting: int = MAX_WAITING) -> None:
-        self._queues: dict[Priority, deque[Waiting[T]]] = {
-            priority: deque() for priority in ORDER
+        self._queues: dict[Priority, deque[QueuedRequest[T]]] = {
+            priority: deque() for priority in PRIORITY_ORDER
         }
         self._most_waiting = most_waiting
 
     def __len__(self) -> int:
         return sum(len(queue) for queue in self._queues.values())
 
-    def push(self, waiting: Waiting[T]) -> bool:
+    def push(self, waiting: QueuedRequest[T]) -> bool:
         """Add a request; ``False`` if the queue of its priority is full."""
         queue = self._queues[waiting.priority]
         if len(queue) >= self._most_waiting:
@@ -65,8 +65,8 @@
         One that cannot start does not hold up others that can.
         """
         started = 0
-        for priority in ORDER:
-            kept: deque[Waiting[T]] = deque()
+        for priority in PRIORITY_ORDER:
+            kept: deque[QueuedRequest[T]] = deque()
             for waiting in self._queues[priority]:
                 if start(waiting.item):
                     started += 1
--- a/packages/pondquay/src/pondquay/routing/balanced.py
+++ b/packages/pondquay/src/pondquay/routing/balanced.py
@@ -10,7 +10,7 @@
     from collections.abc import Sequence
     from random import Random
 
-    from pondquay.routing.policies import Work
+    from pondquay.routing.policies import RequestProfile
     from pondquay.routing.upstreams import Upstream
 
 
@@ -19,7 +19,7 @@
 AHEAD_BY_RANK = (0.05, 0.5, 1.0)
 
 
-def estimate_wait(upstream: Upstream, work: Work, usual: float) -> float:
+def estimate_wait(upstream: Upstream, work: RequestProfile, usual: float) -> float:
     """Return about how many seconds pass until a request's first token.
 
     :param usual: pace taken for an upstream that has not been observed yet
@@ -38,7 +38,7 @@
     """
 
     def choose(
-        self, candidates: Sequence[Upstream], work: Work, random: Random
+        self, candidates: Sequence[Upstream], work: RequestProfile, random: Random
     ) -> Upstream:
         """Return the one of two that will start sooner."""
         drawn = random.sample(list(candidates), min(2, len(candidates)))
--- a/packages/pondquay/src/pondquay/routing/coldshares.py
+++ b/packages/pondquay/src/pondquay/routing/coldshares.py
@@ -72,7 +72,7 @@
         if rate <= 0:
             return True
         pause = max(SENDER_PAUSE_SECONDS, 1 / rate)
-        if upstream.sent_at is not None and now - upstream.sent_at < pause:
+        if upstream.last_sent_at is not None and now - upstream.last_sent_at < pause:
             return False
         return self._sends_to(upstream, max(1, int(rate)))
 
--- a/packages/pondquay/src/pondquay/routing/crashes.py
+++ b/packages/pondquay/src/pondquay/routing/crashes.py
@@ -27,7 +27,7 @@
 # Seconds after which a content that is refused may be tried once more, in case that the
 # upstreams crashed of something else: first while its callers may still wait, then once
 # that trouble is surely over. At most as often in all, since each may crash one more.
-TRIAL_SECONDS = (10.0, 120.0)
+TRIAL_DELAYS_SECONDS = (10.0, 120.0)
 # What a caller is told at least, in seconds: a trial that is due takes about as long.
 SOONEST_RETRY_SECONDS = 1.0
 # What a caller is told whose content will not be tried again, in seconds.
@@ -226,8 +226,8 @@
         if merged == before:
             return False
         if merged.crashed != before.crashed or merged.trials != before.trials:
-            last = len(TRIAL_SECONDS) - 1
-            entry.next_trial = now + TRIAL_SECONDS[min(merged.trials, last)]
+            last = len(TRIAL_DELAYS_SECONDS) - 1
+            entry.next_trial = now + TRIAL_DELAYS_SECONDS[min(merged.trials, last)]
         self._suspected.pop(content, None)
         self._blocked.pop(content, None)
         entries = self._blocked if merged.blocked else self._suspected
@@ -240,12 +240,12 @@
         entry = self._blocked.get(content)
         if entry is None:
             return None
-        if entry.trials >= len(TRIAL_SECONDS):
+        if entry.trials >= len(TRIAL_DELAYS_SECONDS):
             return Blocked(BLOCKED_RETRY_SECONDS)
         # One that is due is tried by an instance that its callers may reach next.
         return Blocked(max(SOONEST_RETRY_SECONDS, entry.next_trial - self._clock()))
 
-    def take_trial(self, content: bytes) -> CrashReport | None:
+    def start_trial(self, content: bytes) -> CrashReport | None:
         """Allow a refused content one run, if it is due and this instance's to allow.
 
         :returns: what peers are to hear before the run begins
@@ -254,7 +254,7 @@
         if entry is None or not self._is_trier(content):
             return None
         trials = entry.trials
-        if trials >= len(TRIAL_SECONDS) or self._clock() < entry.next_trial:
+        if trials >= len(TRIAL_DELAYS_SECONDS) or self._clock() < entry.next_trial:
             return None
         self.receive(CrashReport(content, frozenset(), trials=trials + 1))
         return self.find(content)
--- a/packages/pondquay/src/pondquay/routing/directory.py
+++ b/packages/pondquay/src/pondquay/routing/directory.py
@@ -239,47 +239,47 @@
         return True
 
     def note_announced_leaving(
-        self, upstream: KnownUpstream, reached_by: float
+        self, upstream: KnownUpstream, delivered_at: float
     ) -> bool:
         """Note that an answer of an upstream says that it leaves.
 
-        :param reached_by: by when the request had reached it, in seconds
+        :param delivered_at: by when the request had reached it, in seconds
         :returns: whether that is new
         """
         upstream.said_leaving_at = self._clock()
-        self._note_reached(upstream, reached_by)
+        self._note_reached(upstream, delivered_at)
         return self.note_leaving(upstream.record.name, upstream.record.born)
 
     def note_backoff(
-        self, upstream: KnownUpstream, seconds: float, reached_by: float
+        self, upstream: KnownUpstream, seconds: float, delivered_at: float
     ) -> None:
         """Note that an answer of an upstream asks for some seconds without a request.
 
-        :param reached_by: by when the request had reached it, in seconds
+        :param delivered_at: by when the request had reached it, in seconds
         """
         upstream.note_backoff(seconds, self._clock())
-        self._note_reached(upstream, reached_by)
+        self._note_reached(upstream, delivered_at)
 
     def note_limit(
         self,
         upstream: KnownUpstream,
         limit: RateLimit,
-        asked_at: float,
-        reached_by: float,
+        requested_at: float,
+        delivered_at: float,
     ) -> bool:
         """Note what an answer of an upstream says of how much it takes.
 
-        :param asked_at: when the request was placed, in seconds
-        :param reached_by: by when it had reached the upstream, in seconds
+        :param requested_at: when the request was placed, in seconds
+        :param delivered_at: by when it had reached the upstream, in seconds
         :returns: whether it is another limit than was known
         """
-        is_other = upstream.note_limit(limit, asked_at)
+        is_other = upstream.note_limit(limit, requested_at)
         if limit.rate is not None:
-            self._note_reached(upstream, reached_by)
+            self._note_reached(upstream, delivered_at)
         return is_other
 
-    def _note_reached(self, upstream: KnownUpstream, reached_by: float) -> None:
-        upstream.reached_by = max(upstream.reached_by, reached_by)
+    def _note_reached(self, upstream: KnownUpstream, delivered_at: float) -> None:
+        upstream.delivered_at = max(upstream.delivered_at, delivered_at)
         later = self.find_listed(upstream.record.name)
         if later is not None and later is not upstream:
             later.doubt(upstream)
@@ -325,7 +325,7 @@
         present = [one for one in of_service if one.missing_since is None]
         return present or of_service
 
-    def note_taken_back(self, domain: str, cold: Callable[[str], float]) -> None:
+    def note_restored(self, domain: str, cold: Callable[[str], float]) -> None:
         """Learn that an emptied domain gets work again.
 
         Its upstreams may have turned cold shortly before, which the list tells up to
--- a/packages/pondquay/src/pondquay/routing/evacuations.py
+++ b/packages/pondquay/src/pondquay/routing/evacuations.py
@@ -57,11 +57,11 @@
         """The newest version at which a domain was emptied or taken back, or 0."""
         return max((one.news.version for one in self._updates.values()), default=0)
 
-    def news(self) -> list[Evacuation]:
+    def updates(self) -> list[Evacuation]:
         """Return the newest news of each domain."""
         return [one.news for one in self._updates.values()]
 
-    def take(self, news: Evacuation) -> bool:
+    def merge(self, news: Evacuation) -> bool:
         """Take in news; tell whether it is newer than what was known."""
         before = self._updates.get(news.domain)
         known = 0 if before is None else before.news.version
@@ -85,7 +85,7 @@
             for name, update in self._updates.items()
             if update.news.evacuated and name not in evacuated
         ]
-        changed = [one for one in found if self.take(one)]
+        changed = [one for one in found if self.merge(one)]
         self._read_at = max(self._read_at, at)
         return changed
 
--- a/packages/pondquay/src/pondquay/routing/issuers.py
+++ b/packages/pondquay/src/pondquay/routing/issuers.py
@@ -109,7 +109,7 @@
                 del known[peer]
 
 
-class IssuerChoice:
+class IssuerSelector:
     """Whom one instance asks for permits.
 
     :param instance: its name
--- a/packages/pondquay/src/pondquay/routing/knownupstreams.py
+++ b/packages/pondquay/src/pondquay/routing/knownupstreams.py
@@ -8,7 +8,7 @@
 
 from pondquay.routing.circuits import Circuit
 from pondquay.routing.pauses import PauseRecord
-from pondquay.routing.permitstock import PermitCache
+from pondquay.routing.permitcache import PermitCache
 from pondquay.routing.promptload import PromptLoad
 from pondquay.routing.ratelimits import NEVER_REPORTED, PermitIssuer, RateLimit
 
@@ -28,12 +28,12 @@
     :param prompts: what waits to be read there and what has been
     :param pauses: how long its streams pause while it reads prompts
     :param last_seen_at: when anything last came from it, in seconds
-    :param sent_at: when a request was last placed there, in seconds
+    :param last_sent_at: when a request was last placed there, in seconds
     :param cold_until: until when it may be cold, in seconds
     :param backoff_until: until when it wants no request of this instance, in seconds
     :param limit: what it takes from all instances together, as it last said
     :param alive_at: a moment after which this life has written its row, in seconds
-    :param reached_by: by when the latest request had reached its upstream whose answer
+    :param delivered_at: by when the latest request had reached its upstream whose answer
         said something of the upstream, in seconds
     :param said_leaving_at: when such an answer last said that it leaves, in seconds
     :param doubted_since: set while an answer that said so may be this life's: when it
@@ -51,12 +51,12 @@
     prompts: PromptLoad = field(default_factory=PromptLoad)
     pauses: PauseRecord = field(default_factory=PauseRecord)
     last_seen_at: float = 0.0
-    sent_at: float | None = None
+    last_sent_at: float | None = None
     cold_until: float = 0.0
     backoff_until: float = 0.0
     limit: RateLimit = NEVER_REPORTED
     alive_at: float = -math.inf
-    reached_by: float = -math.inf
+    delivered_at: float = -math.inf
     said_leaving_at: float = -math.inf
     doubted_since: float | None = None
     circuit: Circuit = field(default_factory=Circuit)
@@ -83,17 +83,17 @@
         """
         self.backoff_until = max(self.backoff_until, now + seconds)
 
-    def note_limit(self, limit: RateLimit, asked_at: float = math.inf) -> bool:
+    def note_limit(self, limit: RateLimit, requested_at: float = math.inf) -> bool:
         """Learn what it takes from all instances together; the newest word holds.
 
-        :param asked_at: when the request was placed whose answer says so, in seconds;
+        :param requested_at: when the request was placed whose answer says so, in seconds;
             one that was made before the word that is known does not lift a limit
         :returns: whether it is another limit than was known
         """
         known = self.limit
         if limit.reported_at < known.reported_at:
             return False
-        if asked_at < known.reported_at and limit.allows_more(known):
+        if requested_at < known.reported_at and limit.allows_more(known):
             return False
         self.limit = limit
         if limit.rate == known.rate:
@@ -135,9 +135,9 @@
         seconds at one instance. A limit holds until its first answer. That it leaves
         holds until it writes a row that does not say so, a heartbeat later at most.
         """
-        if before.reached_by <= before.alive_at:
+        if before.delivered_at <= before.alive_at:
             return
-        self.reached_by = max(self.reached_by, before.reached_by)
+        self.delivered_at = max(self.delivered_at, before.delivered_at)
         self.backoff_until = max(self.backoff_until, before.backoff_until)
         if before.is_limited():
             self.note_limit(before.limit)
--- a/packages/pondquay/src/pondquay/routing/permitstock.py
+++ b/packages/pondquay/src/pondquay/routing/permitcache.py
@@ -59,7 +59,7 @@
         self._demand = self._demand * faded + 1.0
         self._wished_at = now
 
-    def count_wanted(self) -> int:
+    def count_needed(self) -> int:
         """Return how many permits to ask for."""
         expected = self._demand / DEMAND_SECONDS * MIN_PAUSE_SECONDS
         return max(1, math.ceil(expected))
@@ -74,7 +74,7 @@
         self.next_request_at = now + max(pause, MIN_PAUSE_SECONDS)
         self._refused = 0
 
-    def plan_return(self, now: float) -> float:
+    def plan_retry(self, now: float) -> float:
         """Return the seconds after which a caller that is refused should come again.
 
         An instance gets a permit about once in its pause, so callers are told to come
--- a/packages/pondquay/src/pondquay/routing/policies.py
+++ b/packages/pondquay/src/pondquay/routing/policies.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Work:
+class RequestProfile:
     """What a policy is told of a request.
 
     :param tokens: the most tokens that it can cost
@@ -34,7 +34,7 @@
 
     @abstractmethod
     def choose(
-        self, candidates: Sequence[Upstream], work: Work, random: Random
+        self, candidates: Sequence[Upstream], work: RequestProfile, random: Random
     ) -> Upstream:
         """Return one of the candidates, of which there is at least one."""
 
--- a/packages/pondquay/src/pondquay/routing/prefixes.py
+++ b/packages/pondquay/src/pondquay/routing/prefixes.py
@@ -11,7 +11,7 @@
     from collections.abc import Sequence
     from random import Random
 
-    from pondquay.routing.policies import Work
+    from pondquay.routing.policies import RequestProfile
     from pondquay.routing.upstreams import Upstream
 
 LOAD_BOUND = 1.25
@@ -30,7 +30,7 @@
         self._fallback = TwoChoices()
 
     def choose(
-        self, candidates: Sequence[Upstream], work: Work, random: Random
+        self, candidates: Sequence[Upstream], work: RequestProfile, random: Random
     ) -> Upstream:
         """Return the least loaded upstream with the prefix, or one of two choices."""
         warm = [one for one in candidates if work.prefix in one.prefixes]
--- a/packages/pondquay/src/pondquay/routing/ratelimits.py
+++ b/packages/pondquay/src/pondquay/routing/ratelimits.py
@@ -12,12 +12,12 @@
 
 # One request in this time is sent whatever the limit is, in seconds: only an answer
 # tells that a limit has gone.
-TRIAL_SECONDS = 5.0
+PROBE_INTERVAL_SECONDS = 5.0
 # Permits that nobody asked for are kept for this long, in seconds.
 BURST_SECONDS = 0.25
 # Seconds after which a permit can no longer be used: those that lie about at instances
 # must not be used all at once.
-PERMIT_SECONDS = 1.0
+PERMIT_LIFETIME_SECONDS = 1.0
 # An instance that has not asked for this long shares the limit no more, in seconds.
 ASKER_SECONDS = 4.0
 # Turns for each permit, where several instances share a limit: those whose turn it is
@@ -84,7 +84,7 @@
 
         :param rate: requests a second that the upstream takes
         """
-        rate = max(rate, 1.0 / TRIAL_SECONDS)
+        rate = max(rate, 1.0 / PROBE_INTERVAL_SECONDS)
         interval = 1.0 / rate
         # What was issued by a lower limit must not hold up a higher one.
         self._due_at = min(self._due_at, now + BURST_SECONDS + interval)
--- a/packages/pondquay/src/pondquay/routing/rendezvous.py
+++ b/packages/pondquay/src/pondquay/routing/rendezvous.py
@@ -21,7 +21,7 @@
 # Requests of one instance at an upstream from which the next one in rank is taken.
 MAX_RUNNING_BY_PREFIX = 8
 # Prompt tokens of all instances that wait there, from which the next one is taken.
-MAX_READING_TOKENS = 24_000
+MAX_PREFILL_TOKENS = 24_000
 # Prompt tokens to be read from which a prompt counts as long. Engines read some
 # thousand between two tokens, and an event holds several tokens: a shorter prompt
 # cannot stretch a pause by much.
@@ -63,7 +63,7 @@
     open_ones = [one for one in ranked if one.running < MAX_RUNNING_BY_PREFIX]
     if not open_ones:
         return min(ranked, key=lambda one: one.running)
-    if open_ones[0].prompts.waiting < MAX_READING_TOKENS:
+    if open_ones[0].prompts.waiting < MAX_PREFILL_TOKENS:
         return open_ones[0]
     return min(open_ones, key=lambda one: one.prompts.count_until_read(prefix))
 
@@ -99,5 +99,5 @@
 
 def _rank_by_use(upstream: KnownUpstream) -> tuple[int, float]:
     """Return what runs there, and when a request was last placed there."""
-    sent_at = -math.inf if upstream.sent_at is None else upstream.sent_at
-    return upstream.running, sent_at
+    last_sent_at = -math.inf if upstream.last_sent_at is None else upstream.last_sent_at
+    return upstream.running, last_sent_at
--- a/packages/pondquay/src/pondquay/routing/rotation.py
+++ b/packages/pondquay/src/pondquay/routing/rotation.py
@@ -10,7 +10,7 @@
     from collections.abc import Sequence
     from random import Random
 
-    from pondquay.routing.policies import Work
+    from pondquay.routing.policies import RequestProfile
     from pondquay.routing.upstreams import Upstream
 
 
@@ -22,7 +22,7 @@
         self._turn = 0
 
     def choose(
-        self, candidates: Sequence[Upstream], work: Work, random: Random
+        self, candidates: Sequence[Upstream], work: RequestProfile, random: Random
     ) -> Upstream:
         """Return the next upstream by name."""
         self._turn += 1
--- a/packages/pondquay/src/pondquay/routing/upstreams.py
+++ b/packages/pondquay/src/pondquay/routing/upstreams.py
@@ -66,7 +66,7 @@
     circuit: Circuit = field(default_factory=Circuit)
     prefixes: dict[str, int] = field(default_factory=dict)
 
-    def take_report(self, report: LoadReport) -> None:
+    def apply_report(self, report: LoadReport) -> None:
         """Replace the last report by a newer one.
 
         A life that begins anew has asked for nothing.
@@ -97,7 +97,7 @@
         """Requests that the upstream runs at the same time."""
         return 1 if self.report is None else max(1, self.report.slots)
 
-    def has_room(self, rank: int) -> bool:
+    def has_capacity(self, rank: int) -> bool:
         """Tell whether a request of some priority may be sent there now.
 
         Running streams are not interrupted, so a part of the places is kept free for
--- a/packages/pondquay/src/pondquay/streamevents.py
+++ b/packages/pondquay/src/pondquay/streamevents.py
@@ -56,7 +56,7 @@
             self._check(event)
         return whole
 
-    def break_off(self) -> None:
+    def discard_partial(self) -> None:
         """Forget a partial event, since its stream has broken."""
         self._pending = b""
 
--- a/packages/pondquay/src/pondquay/streams.py
+++ b/packages/pondquay/src/pondquay/streams.py
@@ -50,7 +50,7 @@
         return len(self.frames)
 
     @property
-    def whole(self) -> bool:
+    def complete(self) -> bool:
         """Whether the end has come, with every piece before it."""
         return bool(self.frames) and bool(self.frames[-1].finish)
 
@@ -59,7 +59,7 @@
         """The answer so far."""
         return "".join(frame.text for frame in self.frames)
 
-    def take(self, frame: Frame) -> Verdict:
+    def add_frame(self, frame: Frame) -> Verdict:
         """Take in a frame and say whether it may be passed on."""
         verdict = self._judge(frame)
         if verdict is Verdict.PASS_ON:
@@ -73,7 +73,7 @@
             return Verdict.FOREIGN
         if frame.offset < self.next_offset:
             return Verdict.REPEATED
-        if self.whole:
+        if self.complete:
             return Verdict.AFTER_END
         if frame.offset > self.next_offset:
             return Verdict.GAP
--- a/packages/pondquay/src/pondquay/tables.py
+++ b/packages/pondquay/src/pondquay/tables.py
@@ -74,7 +74,7 @@
         row = self.rows.get(key)
         return ABSENT if row is None else row.version
 
-    def starting(self, prefix: str) -> list[Row]:
+    def list_with_prefix(self, prefix: str) -> list[Row]:
         """Return the rows below a prefix, in the order of their keys."""
         keys = sorted(key for key in self.rows if key.startswith(prefix))
         return [self.rows[key] for key in keys]
@@ -106,12 +106,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Lost:
+class OutcomeUnknown:
     """No answer: the transaction may have taken effect, or may still do so."""
 
 
 TableCall: TypeAlias = Read | Transaction
-TableReply: TypeAlias = Rows | Committed | Conflict | Unreachable | Lost
+TableReply: TypeAlias = Rows | Committed | Conflict | Unreachable | OutcomeUnknown
 
 T = TypeVar("T")
 Program: TypeAlias = Generator[TableCall, TableReply, T]
@@ -127,7 +127,7 @@
 
 def commit_rows(
     transaction: Transaction,
-) -> Program[Committed | Conflict | Unreachable | Lost]:
+) -> Program[Committed | Conflict | Unreachable | OutcomeUnknown]:
     """Carry out a transaction, sending it once more if its answer is lost.
 
     The conditions of the transactions of this package never hold twice, so the
@@ -135,14 +135,14 @@
     a lost answer a conflict says only that the outcome has to be read.
     """
     reply = yield transaction
-    if not isinstance(reply, Lost):
+    if not isinstance(reply, OutcomeUnknown):
         return _narrow(reply)
     again = yield transaction
     if isinstance(again, Committed):
         return again
-    return Lost()
+    return OutcomeUnknown()
 
 
-def _narrow(reply: TableReply) -> Committed | Conflict | Unreachable | Lost:
+def _narrow(reply: TableReply) -> Committed | Conflict | Unreachable | OutcomeUnknown:
     """Refuse the one reply that answers no transaction."""
-    return Lost() if isinstance(reply, Rows) else reply
+    return OutcomeUnknown() if isinstance(reply, Rows) else reply
