--- a/packages/pondquay/src/pondquay/__init__.py
+++ b/packages/pondquay/src/pondquay/__init__.py
@@ -1,8 +1,8 @@
 """Coordination logic for router fleets with prepaid token budgets.
 
-The package makes the decisions of a router fleet and does no I/O: callers pass in the
-time, random numbers and received messages, and carry out the decisions and send the
-messages that they get back.
+The package makes the decisions of a router fleet and does no I/O. Callers pass in the
+time, random numbers and received messages; they carry out the returned decisions and
+send the returned messages.
 """
 
 from __future__ import annotations
--- a/packages/pondquay/src/pondquay/billing/bills.py
+++ b/packages/pondquay/src/pondquay/billing/bills.py
@@ -23,7 +23,7 @@
     A request is billed once, by the first of its bills that is folded into the ledger.
     Several bills of the same attempt are duplicates.
 
-    :param key: the caller's key of the request
+    :param key: the key that the caller gave the request
     """
 
     workspace: str
--- a/packages/pondquay/src/pondquay/billing/fold.py
+++ b/packages/pondquay/src/pondquay/billing/fold.py
@@ -39,7 +39,7 @@
     """The ledger entry of a request.
 
     :param tokens: tokens billed for the request
-    :param attempts: all attempts for which a bill was written
+    :param attempts: all attempts whose bills were folded
     """
 
     tokens: int
@@ -86,7 +86,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Folded:
-    """The numbers of segments and bills of a fold, and the tokens it returned."""
+    """Result of a fold.
+
+    :param segments: number of segments folded
+    :param bills: number of bills in these segments
+    :param surplus: tokens returned to the budgets
+    """
 
     segments: int
     bills: int
@@ -100,7 +105,7 @@
     :param rows: the rows as read from the table
     :param ledger: changed ledger rows by key
     :param accounts: changed accounts by key
-    :param surplus: tokens returned to the budget by workspace
+    :param surplus: tokens to return to the budget, by workspace
     """
 
     rows: Rows
@@ -110,17 +115,17 @@
 
     def add(self, bill: Bill) -> None:
         """Apply a bill."""
-        ledger_key = bill_key(bill.workspace, bill.key)
-        balance_key = account_key(bill.workspace)
-        existing = self.ledger.get(ledger_key) or load_billed(
-            self.rows.rows.get(ledger_key)
+        ledger_row_key = bill_key(bill.workspace, bill.key)
+        account_row_key = account_key(bill.workspace)
+        existing = self.ledger.get(ledger_row_key) or load_billed(
+            self.rows.rows.get(ledger_row_key)
         )
-        account = self.accounts.get(balance_key)
+        account = self.accounts.get(account_row_key)
         if account is None:
-            account = load_account(self.rows.rows.get(balance_key))
+            account = load_account(self.rows.rows.get(account_row_key))
         if existing is None:
-            self.ledger[ledger_key] = BilledRow(bill.tokens, (bill.attempt,))
-            self.accounts[balance_key] = replace(
+            self.ledger[ledger_row_key] = BilledRow(bill.tokens, (bill.attempt,))
+            self.accounts[account_row_key] = replace(
                 account,
                 billed=account.billed + bill.tokens,
                 requests=account.requests + 1,
@@ -129,8 +134,8 @@
         if bill.attempt in existing.attempts:
             return
         attempts = (*existing.attempts, bill.attempt)
-        self.ledger[ledger_key] = BilledRow(existing.tokens, attempts)
-        self.accounts[balance_key] = replace(
+        self.ledger[ledger_row_key] = BilledRow(existing.tokens, attempts)
+        self.accounts[account_row_key] = replace(
             account, surplus=account.surplus + bill.tokens
         )
         returned = self.surplus.get(bill.workspace, 0) + bill.tokens
@@ -156,13 +161,14 @@
 
 
 def fold_segments(max_bills: int = MAX_BILLS) -> Program[Folded | Unreachable]:
-    """Fold a number of segments into the ledger.
+    """Fold the first segments by key into the ledger.
 
     An interrupted fold loses no bill and counts none twice. If the outcome of the
     commit is unknown, the next fold reads the segments that remain.
 
     :param max_bills: maximum number of bills, except that a larger first segment is
         folded completely
+    :returns: ``Unreachable`` also after a conflict or an unknown outcome
     """
     listed = yield from read_rows(prefixes=(SEGMENT_PREFIX,))
     if isinstance(listed, Unreachable):
--- a/packages/pondquay/src/pondquay/billing/programs.py
+++ b/packages/pondquay/src/pondquay/billing/programs.py
@@ -43,8 +43,9 @@
 def write_segment(key: str, bills: Sequence[Bill]) -> Program[Written | Unreachable]:
     """Write a segment of bills in one transaction.
 
-    If the outcome is unknown, the caller must write the same segment again under the
-    same key. A fold recognises duplicate bills by their attempts.
+    After ``Unreachable``, which also covers an unknown outcome, the caller must write
+    the same segment again under the same key. A fold recognises duplicate bills by
+    their attempts.
     """
     transaction = Transaction(
         f"flush/{key}", (Condition(key, ABSENT),), (Write(key, dump_segment(bills)),)
@@ -72,7 +73,7 @@
 
 
 def read_statement(workspace: str) -> Program[Statement | Unreachable]:
-    """Read the account of a workspace with all its bills."""
+    """Read the account of a workspace, its billed requests and its pending bills."""
     prefix = f"{BILL_PREFIX}{workspace}/"
     rows = yield from read_rows(
         account_key(workspace), prefixes=(prefix, SEGMENT_PREFIX)
--- a/packages/pondquay/src/pondquay/claims/programs.py
+++ b/packages/pondquay/src/pondquay/claims/programs.py
@@ -34,7 +34,8 @@
 class ClaimRow:
     """A claim on a request.
 
-    :param claimant: incarnation of the instance that made the claim
+    :param claimant: incarnation of the instance that made the claim, empty once
+        finished
     :param nonce: random identifier of the claim
     :param finished: whether the request ran and its response was complete
     """
@@ -60,7 +61,7 @@
 class ClaimUnknown:
     """The claim may be stored now or later: the request must not run.
 
-    The claimant releases the claim later.
+    The claimant must release the claim later.
     """
 
 
@@ -105,16 +106,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Released:
-    """The claim no longer exists, is finished or belongs to another claimant."""
+    """The claim was deleted or marked as finished, or has another nonce."""
 
 
 def release_claim(request: RequestName, nonce: str) -> Program[Released | Unreachable]:
-    """Delete the caller's claim on a request that certainly did not run."""
+    """Delete the claim with this nonce; its request must certainly not have run."""
     return (yield from _change_claim(request, nonce, None))
 
 
 def finish_claim(request: RequestName, nonce: str) -> Program[Released | Unreachable]:
-    """Mark the caller's claim as finished, after the complete response."""
+    """Mark the claim with this nonce as finished, after the complete response."""
     finished = ClaimRow(claimant="", nonce=nonce, finished=True)
     return (yield from _change_claim(request, nonce, finished))
 
--- a/packages/pondquay/src/pondquay/configuration/changes.py
+++ b/packages/pondquay/src/pondquay/configuration/changes.py
@@ -1,4 +1,4 @@
-"""Changes of single entities, from which plans and versions are composed."""
+"""Changes of single entities; plans and versions consist of them."""
 
 from __future__ import annotations
 
--- a/packages/pondquay/src/pondquay/configuration/documents.py
+++ b/packages/pondquay/src/pondquay/configuration/documents.py
@@ -1,4 +1,4 @@
-"""The configuration in force: a version number and its entities.
+"""Versions of the configuration and the changes between them.
 
 A version is stored as its changes from the previous version, so that instances fetch
 only the changes that they lack.
@@ -48,14 +48,14 @@
 class Document:
     """All entities of a version, by ``kind name``.
 
-    The indexes for lookups by request are built once per version.
+    Indexes for lookups are built on first use, once per version.
     """
 
     version: int = 0
     entities: Mapping[str, Entity] = field(default_factory=dict)
 
     def apply_changes(self, changes: Iterable[Change]) -> dict[str, Entity]:
-        """Return the entities after some changes."""
+        """Return a copy of the entities with the changes applied."""
         entities = dict(self.entities)
         for change in changes:
             if change.after is None:
--- a/packages/pondquay/src/pondquay/configuration/entities.py
+++ b/packages/pondquay/src/pondquay/configuration/entities.py
@@ -17,7 +17,7 @@
 
 
 class Priority(StrEnum):
-    """The priority of a request; the highest comes first."""
+    """Priorities of requests, in descending order."""
 
     HIGH = "high"
     NORMAL = "normal"
--- a/packages/pondquay/src/pondquay/configuration/intents.py
+++ b/packages/pondquay/src/pondquay/configuration/intents.py
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Intent:
-    """The desired state of a partner's entities.
+    """The entities that a partner wants to add, change or remove.
 
     :param entities: entities to add or change
     :param removed: identities, as ``kind name``, of entities to remove
@@ -33,7 +33,7 @@
     """Parse an intent.
 
     A section ``[kind name]`` describes an entity; its keys are the entity's fields. A
-    section with ``remove = yes`` as its only key removes the entity.
+    section whose only key is ``remove`` removes the entity, whatever the key's value.
 
     :param source: name of the file, used in findings
     :raises InvalidInputError: with all findings, each with its line number
--- a/packages/pondquay/src/pondquay/configuration/plans.py
+++ b/packages/pondquay/src/pondquay/configuration/plans.py
@@ -22,7 +22,7 @@
 
 
 class PlanState(StrEnum):
-    """Whether a plan is in force."""
+    """Whether a plan awaits consents or is in force."""
 
     PROPOSED = "proposed"
     CONFIRMED = "confirmed"
@@ -72,8 +72,9 @@
 
     :param desired: entities to add or change; other entities stay unchanged
     :param removed: identities, as ``kind name``, of entities to remove
-    :raises InvalidInputError: if an entity belongs to another partner, a removed entity
-        does not exist, a budget has no workspace, or two workspaces have the same key
+    :raises InvalidInputError: if the partner neither owns nor borrows an entity, a
+        removed entity does not exist, a budget has no workspace, or two workspaces
+        have the same key
     """
     findings = Findings()
     after = {
@@ -146,5 +147,5 @@
         if digest is None:
             continue
         if digest in digests:
-            findings.add("intent", identity, f"has the key of {digests[digest]}")
+            findings.add("intent", identity, f"has the same key as {digests[digest]}")
         digests[digest] = identity
--- a/packages/pondquay/src/pondquay/configuration/programs.py
+++ b/packages/pondquay/src/pondquay/configuration/programs.py
@@ -80,7 +80,8 @@
     """The plan conflicts with changes after its base version: a new plan is needed.
 
     :param head: version in force
-    :param subject: identity of an entity that was changed, or another reason
+    :param subject: identity of an entity that both the plan and a later version change,
+        or a text if the base version is too old
     """
 
     plan: Plan
@@ -116,8 +117,9 @@
 def confirm_plan(plan_id: str, partner: str) -> Program[ConfirmOutcome]:
     """Store a partner's consent; put the plan in force if no consent is missing.
 
-    Retries if another transaction changes the head concurrently. The operation is
-    idempotent.
+    Retries if a row that it read has changed or if the outcome of the commit is
+    unknown, and returns ``Unreachable`` after ``MAX_CONFIRM_ATTEMPTS`` attempts. The
+    operation is idempotent.
     """
     for _ in range(MAX_CONFIRM_ATTEMPTS):
         rows = yield from read_rows(plan_key(plan_id), HEAD_KEY)
@@ -152,7 +154,10 @@
 def _find_outdated(
     plan: Plan, rows: Rows
 ) -> Program[PlanOutdated | Unreachable | None]:
-    """Look for a version after the plan's base that changes an entity of the plan."""
+    """Check whether a version after the plan's base changes an entity of the plan.
+
+    A plan whose base is more than ``MAX_VERSIONS_BEHIND`` versions old is outdated too.
+    """
     head = _head_version(rows)
     if head - plan.base > MAX_VERSIONS_BEHIND:
         return PlanOutdated(plan, head, "too many versions")
@@ -170,8 +175,8 @@
 def _commit_consent(plan: Plan, rows: Rows) -> Program[ConfirmOutcome | None]:
     """Write the consent, and the new version if no consent is missing.
 
-    :returns: ``None`` if the commit failed or its outcome is unknown, so that the rows
-        must be read again
+    :returns: ``None`` after a conflict or an unknown outcome, so that the rows must be
+        read again
     """
     if plan.missing_consents():
         transaction = _consent_transaction(plan, rows)
@@ -261,7 +266,10 @@
 
 
 def fetch_deltas(base: int, head: int) -> Program[tuple[Delta, ...] | Unreachable]:
-    """Fetch the deltas from one version to another, in ascending order."""
+    """Fetch the deltas of the versions after the base up to the head, in order.
+
+    :returns: ``Unreachable`` also if a delta is missing
+    """
     deltas: list[Delta] = []
     for start in range(base + 1, head + 1, MAX_DELTAS_PER_READ):
         stop = min(head + 1, start + MAX_DELTAS_PER_READ)
--- a/packages/pondquay/src/pondquay/errors.py
+++ b/packages/pondquay/src/pondquay/errors.py
@@ -1,4 +1,4 @@
-"""Exceptions of the kernel, and the findings that ``InvalidInputError`` reports."""
+"""Exceptions of the package, and the findings that ``InvalidInputError`` holds."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
     :param location: ``file:line`` or the path of a field
     :param subject: the key or field concerned
-    :param message: a description of the problem for people
+    :param message: human-readable description of the problem
     """
 
     location: str
@@ -27,7 +27,7 @@
 
 
 class PondquayError(Exception):
-    """Base class of all errors that the kernel raises."""
+    """Base class of all errors that the package raises."""
 
 
 class InvalidInputError(PondquayError):
@@ -42,12 +42,12 @@
 
 
 class MalformedRowError(PondquayError):
-    """A table row does not match its schema."""
+    """The value of a table row does not match its schema."""
 
 
 class UnknownPluginError(PondquayError):
-    """No plug-in is registered under this name."""
+    """No plug-in is registered under the requested name."""
 
 
 class InvariantError(PondquayError):
-    """A caller of the kernel violated an invariant that the kernel relies on."""
+    """A caller violated an invariant that the package relies on."""
--- a/packages/pondquay/src/pondquay/ini.py
+++ b/packages/pondquay/src/pondquay/ini.py
@@ -1,4 +1,4 @@
-"""INI files with line numbers, so that findings can refer to them."""
+"""Parser for INI files that records line numbers for findings."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
     :param source: name of the file
     :param line: line number of the section's heading
-    :param lines: line number of each key
+    :param lines: line number of each key, by its name in lower case
     """
 
     name: str
--- a/packages/pondquay/src/pondquay/membership/drains.py
+++ b/packages/pondquay/src/pondquay/membership/drains.py
@@ -31,7 +31,7 @@
 
 
 def store_drain(upstream: str) -> Program[bool]:
-    """Store that an upstream is drained; return whether it is known to be stored."""
+    """Mark an upstream as drained; return whether the mark is known to be stored."""
     key = f"{DRAIN_PREFIX}{upstream}"
     transaction = Transaction(
         key, (Condition(key, ABSENT),), (Write(key, {"upstream": upstream}),)
--- a/packages/pondquay/src/pondquay/membership/leases.py
+++ b/packages/pondquay/src/pondquay/membership/leases.py
@@ -1,8 +1,8 @@
 """Leases that select the instance that performs a fleet-wide task.
 
 A lease makes it unlikely, but not impossible, that two instances perform a task at the
-same time. Correctness does not depend on it: tasks use transactions or pass on the
-lease's fence.
+same time. Correctness does not depend on it: tasks use transactions or pass the
+lease's fence on to what they change.
 """
 
 from __future__ import annotations
@@ -33,8 +33,8 @@
 class LeaseRow:
     """The stored state of a lease.
 
-    :param fence: incremented with each change of the holder
-    :param beat: incremented with each renewal
+    :param fence: fencing token, incremented with each change of the holder
+    :param beat: incremented with each renewal and each change of the holder
     """
 
     holder: str
@@ -54,7 +54,7 @@
     """An instance's view of a lease.
 
     :param name: name of the task
-    :param holder: this incarnation of this instance
+    :param holder: identifier of this incarnation of the instance
     :ivar fence: fence of the lease if this instance holds it, otherwise ``None``
     """
 
--- a/packages/pondquay/src/pondquay/membership/peers.py
+++ b/packages/pondquay/src/pondquay/membership/peers.py
@@ -1,8 +1,8 @@
 """The state of an instance's peers.
 
-A peer that sends nothing for ``SUSPECT_AFTER_SECONDS`` is suspected to be down. The
-suspicion may be wrong, so it is used only where an error is safe: to seal grants, to
-choose another witness and to ask another peer.
+A peer that sends no heartbeat for ``SUSPECT_AFTER_SECONDS`` is suspected to be down.
+The suspicion may be wrong, so it is used only where an error is safe: to seal grants,
+to choose another witness and to send a request to another peer.
 """
 
 from __future__ import annotations
@@ -82,7 +82,10 @@
         self.known.pop(instance, None)
 
     def witnesses(self, now: float) -> list[InstanceId]:
-        """Return the usable peers of this domain, which can witness a grant."""
+        """Return the peers that can witness a grant, sorted by instance.
+
+        They are usable, belong to this domain and are not shutting down.
+        """
         return sorted(
             instance
             for instance, peer in self.known.items()
@@ -92,5 +95,5 @@
         )
 
     def newest_version(self) -> int:
-        """Return the highest configuration version that a peer has reported."""
+        """Return the highest version that a peer has reported, 0 without peers."""
         return max((peer.version for peer in self.known.values()), default=0)
--- a/packages/pondquay/src/pondquay/names.py
+++ b/packages/pondquay/src/pondquay/names.py
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class InstanceId:
-    """One incarnation of an entry instance, from its start to its end.
+    """An incarnation of an entry instance: its process from start to exit.
 
     :param name: the instance's name from its settings
     :param boot: a random identifier, generated at each start
@@ -66,7 +66,10 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class RequestName:
-    """A request, identified across retries by its workspace and the caller's key."""
+    """A request, identified across retries by its workspace and its request key.
+
+    :param key: the key that the caller gave the request
+    """
 
     workspace: str
     key: str
--- a/packages/pondquay/src/pondquay/policy.py
+++ b/packages/pondquay/src/pondquay/policy.py
@@ -1,4 +1,4 @@
-"""Settings that switch the mechanisms of a relay on and off and parametrise them.
+"""Settings that enable, disable and tune the mechanisms of a relay.
 
 Deployments run with the defaults; experiments change single settings.
 """
@@ -35,20 +35,23 @@
         without an allotment may hold as headroom if its share of the fleet's headroom
         is smaller than this fraction or than its largest request
     :param return_part: fraction of its largest request; an instance without an
-        allotment returns a surplus above it to a lender
+        allotment returns a surplus above it, or above the headroom that it may hold if
+        this is less, to a lender
     :param come_back_seconds: seconds that a caller is asked to wait before retrying
         when this instance has no tokens for its request but a peer may have some
     :param circuits: exclude upstreams that failed several times in a row
     :param leave_dark: treat a failure domain as unreachable after connections to two of
-        its upstreams failed in a row, and retry a request in another domain after each
-        failed connection
+        its upstreams failed without a response from the domain in between, and retry a
+        request in another domain after each failed connection; refused connections do
+        not count as failed
     :param leave_silent: retry a repeatable request at another upstream if its upstream
         does not respond in time
     :param urgency: send the urgency of each request to its upstream
     :param crowded_part: fraction of an upstream's slots that this instance uses in its
-        own failure domain before it considers upstreams of other domains
+        own failure domain before it considers upstreams of other domains; requests
+        with prompt parts are not affected
     :param spare_streams: send no long prompts to upstreams whose running streams they
-        interrupt, as long as there are other upstreams
+        would delay, as long as other upstreams are available
     :param refuse_crashing: refuse a request after three upstreams crashed while running
         it, so that its retries do not crash further upstreams
     :param copy_parts: let an upstream copy the cached state of shared prompt parts from
--- a/packages/pondquay/src/pondquay/requests/bounds.py
+++ b/packages/pondquay/src/pondquay/requests/bounds.py
@@ -13,8 +13,8 @@
 def bound_prompt_tokens(contents: Iterable[str]) -> int:
     """Return an upper bound of the tokens of a prompt.
 
-    A token represents at least one byte of text; each message adds a few tokens that
-    delimit it.
+    A token represents at least one byte of text; each message adds at most
+    ``TOKENS_PER_MESSAGE`` tokens that delimit it.
 
     :param contents: the texts of the prompt's messages
     """
--- a/packages/pondquay/src/pondquay/requests/lifecycle.py
+++ b/packages/pondquay/src/pondquay/requests/lifecycle.py
@@ -1,7 +1,7 @@
 """The lifecycle of a request, which determines the outcome reported to its caller.
 
 The state machine prevents a second dispatch of a request that is not repeatable and may
-have run, and never reports a request that may have run as not run.
+have run, and never returns ``NOT_RUN`` for a request that may have run.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class Outcome(StrEnum):
-    """Whether a request ran, as far as is known."""
+    """Whether a request ran, as far as this is known."""
 
     DONE = "done"
     NOT_RUN = "not-run"
@@ -42,7 +42,7 @@
 
 @dataclass(slots=True)
 class _Core:
-    """The data of the state machine, which needs none besides its state."""
+    """Empty data object that ``TypeMachineBuilder`` requires."""
 
 
 def _build(*, repeatable: bool) -> TypeMachineBuilder[RequestLifecycle, _Core]:
--- a/packages/pondquay/src/pondquay/routes/entities.py
+++ b/packages/pondquay/src/pondquay/routes/entities.py
@@ -66,7 +66,7 @@
 class Service:
     """A service that is provided by interchangeable upstreams.
 
-    :param most_connections: maximum number of connections that an upstream accepts
+    :param max_connections: maximum number of connections that an upstream accepts
         from all instances together
     :param event_tokens: maximum number of tokens in an event of a stream; 0 if
         responses cost no tokens
@@ -79,7 +79,7 @@
 
     name: str
     health_path: str
-    most_connections: int
+    max_connections: int
     event_tokens: int = 0
     shares_prompts: bool = False
     cold_seconds: float = 0.0
--- a/packages/pondquay/src/pondquay/routes/table.py
+++ b/packages/pondquay/src/pondquay/routes/table.py
@@ -45,7 +45,9 @@
         return bool(self.configuration.workspaces)
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix of the path.
+        """Return the route whose path prefix is the longest one that matches.
+
+        Only prefixes that end with a slash match.
 
         :param host: the host as the caller sent it; port and case are ignored
         :param path: the path without the query
@@ -62,15 +64,15 @@
         return None
 
     def find_workspace(self, key: str) -> RoutedWorkspace | None:
-        """Return the workspace that a key belongs to."""
+        """Return the workspace that a key belongs to, or ``None``."""
         return self._keys.get(key)
 
     def workspace(self, name: str) -> RoutedWorkspace | None:
-        """Return the workspace with this name."""
+        """Return the workspace with this name, or ``None``."""
         return self._workspaces.get(name)
 
     def service(self, name: str) -> Service | None:
-        """Return the service with this name."""
+        """Return the service with this name, or ``None``."""
         return self._services.get(name)
 
 
--- a/packages/pondquay/src/pondquay/streamevents.py
+++ b/packages/pondquay/src/pondquay/streamevents.py
@@ -1,4 +1,4 @@
-"""Splitting of an event stream into complete events, with a check of their order."""
+"""Parser that splits an event stream into events and checks their order."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 class StreamOrderError(Exception):
-    """An event of a stream is missing, repeated or without an end."""
+    """An event of a stream is missing, repeated or too long."""
 
 
 def read_event_id(event: bytes) -> int | None:
-    """Return the number in an event's ``id`` field, or ``None`` without a number."""
+    """Return the number in an event's ``id`` field, or ``None`` if it has none."""
     for line in event.split(b"\n"):
         if line.startswith(ID_FIELD):
             text = line[len(ID_FIELD) :].strip()
@@ -24,10 +24,12 @@
 
 @dataclass(slots=True)
 class EventReader:
-    """Splits a byte stream into events and checks that no event is missing.
+    """Splits a byte stream into events and checks that their numbers are consecutive.
 
-    :param last: number of the last event returned
-    :param count: numbered events returned by this reader
+    Events without a number are accepted anywhere.
+
+    :param last: number of the last numbered event
+    :param count: number of numbered events that were read
     """
 
     last: int = 0
@@ -40,10 +42,10 @@
         return bool(self._pending)
 
     def feed(self, data: bytes) -> bytes:
-        """Return the events that the data completes; buffer an incomplete event.
+        """Return all events that are complete now; buffer an incomplete event.
 
-        :raises StreamOrderError: if an event is missing or repeated, or if an
-            incomplete event exceeds ``MAX_PENDING_BYTES``
+        :raises StreamOrderError: if an event is missing or repeated, or if more than
+            ``MAX_PENDING_BYTES`` contain no complete event
         """
         pending = self._pending + data
         end = pending.rfind(EVENT_END)
@@ -55,14 +57,14 @@
         complete = pending[: end + len(EVENT_END)]
         self._pending = pending[end + len(EVENT_END) :]
         for event in complete.split(EVENT_END)[:-1]:
-            self._check(event)
+            self._check_order(event)
         return complete
 
     def discard_partial(self) -> None:
-        """Discard an incomplete event after its stream has broken."""
+        """Discard an incomplete event after its stream was interrupted."""
         self._pending = b""
 
-    def _check(self, event: bytes) -> None:
+    def _check_order(self, event: bytes) -> None:
         number = read_event_id(event)
         if number is None:
             return
--- a/packages/pondquay/src/pondquay/streams.py
+++ b/packages/pondquay/src/pondquay/streams.py
@@ -12,7 +12,7 @@
 
     :param stream: name of the stream, as the upstream returned it
     :param offset: number of frames before this one
-    :param finish: reason why the response ends here, empty if it continues
+    :param finish: reason why the response ends with this frame, empty if it continues
     """
 
     stream: str
@@ -24,7 +24,7 @@
 
 
 class Verdict(StrEnum):
-    """Whether a frame is passed on, or why it is dropped."""
+    """Result of a check of a frame: passed on, or dropped for a reason."""
 
     PASS_ON = "pass-on"
     FOREIGN = "foreign"
@@ -63,7 +63,7 @@
         return "".join(frame.text for frame in self.frames)
 
     def add_frame(self, frame: Frame) -> Verdict:
-        """Append the next expected frame or drop the frame; return the verdict."""
+        """Append the frame if it is the next one, or drop it; return the verdict."""
         verdict = self._classify(frame)
         if verdict is Verdict.PASS_ON:
             self.frames.append(frame)
--- a/packages/pondquay/src/pondquay/tables.py
+++ b/packages/pondquay/src/pondquay/tables.py
@@ -121,7 +121,7 @@
 def read_rows(
     *keys: str, prefixes: tuple[str, ...] = ()
 ) -> Program[Rows | Unreachable]:
-    """Read rows; treat a missing reply as an unreachable table."""
+    """Read rows; return ``Unreachable`` for any reply other than rows."""
     reply = yield Read(keys, prefixes)
     return reply if isinstance(reply, Rows) else Unreachable()
 
@@ -131,9 +131,9 @@
 ) -> Program[Committed | Conflict | Unreachable | OutcomeUnknown]:
     """Commit a transaction; retry it once if no reply arrives.
 
-    The retry is safe, because the conditions of a transaction of this package do not
-    hold any more once it has taken effect. A conflict on the retry leaves the outcome
-    unknown: the first attempt may have caused it.
+    The retry is safe, because the conditions of a transaction of this package no
+    longer hold once it has taken effect. Any reply to the retry other than
+    ``Committed`` leaves the outcome unknown: the first attempt may have taken effect.
     """
     reply = yield transaction
     if not isinstance(reply, OutcomeUnknown):
