--- a/packages/pondquay/src/pondquay/policy.py
+++ b/packages/pondquay/src/pondquay/policy.py
@@ -40,13 +40,14 @@
     :param come_back_seconds: seconds that a caller is asked to wait before retrying
         when this instance has no tokens for its request but a peer may have some
     :param circuits: exclude upstreams that failed several times in a row
-    :param leave_dark: treat a failure domain as unreachable after connections to two of
-        its upstreams failed without a response from the domain in between, and retry a
-        request in another domain after each failed connection; refused connections do
-        not count as failed
+    :param leave_dark: treat a failure domain as unreachable for a short time after
+        connections to two of its upstreams failed, other than by refusal, without a
+        response from the domain in between; do not limit a request's failed connections
+        while another healthy upstream is left
     :param leave_silent: retry a repeatable request at another upstream if its upstream
         does not respond in time
-    :param urgency: send the urgency of each request to its upstream
+    :param urgency: send the urgency of each request to its upstream; if off, the
+        urgency sent is always 0, the highest
     :param crowded_part: fraction of an upstream's slots that this instance uses in its
         own failure domain before it considers upstreams of other domains; requests
         with prompt parts are not affected
