--- a/packages/pondquay/src/pondquay/budgets/demands.py
+++ b/packages/pondquay/src/pondquay/budgets/demands.py
@@ -14,7 +14,7 @@
     from pondquay.budgets.holdings import Holding
     from pondquay.budgets.rows import BudgetRow
 
-# Number of tracked workspaces from which no more are added before their first request.
+# Once this many workspaces are tracked, others are added only at their first request.
 MAX_WATCHED = 200
 # Time constant of the exponential average of the demand.
 RATE_SECONDS = 900.0
@@ -58,7 +58,7 @@
 
 
 class DemandTracker:
-    """Tracks the demand of all workspaces that an instance holds tokens for."""
+    """Tracks the demand of workspaces at one instance."""
 
     def __init__(self) -> None:
         self._demands: dict[str, Demand] = {}
--- a/packages/pondquay/src/pondquay/budgets/holder.py
+++ b/packages/pondquay/src/pondquay/budgets/holder.py
@@ -229,7 +229,7 @@
         return list(islice(self._unflushed.values(), max_count))
 
     def list_unwitnessed(self) -> set[AttemptId]:
-        """Return settled attempts whose bills may be neither stored nor witnessed."""
+        """Return the IDs of settled attempts that are neither flushed nor witnessed."""
         return {
             attempt.id for attempt in self._unflushed.values() if not attempt.witnessed
         }
--- a/packages/pondquay/src/pondquay/budgets/programs.py
+++ b/packages/pondquay/src/pondquay/budgets/programs.py
@@ -249,7 +249,7 @@
 
 
 def _fence_rows(operation: str, keys: Sequence[str], rows: Rows) -> Transaction:
-    """Return a transaction that writes rows unchanged, under their versions."""
+    """Return a transaction that rewrites rows if their versions are unchanged."""
     present = [rows.rows[key] for key in keys if key in rows.rows]
     return Transaction(
         f"{operation}/fence",
--- a/packages/pondquay/src/pondquay/budgets/sizing.py
+++ b/packages/pondquay/src/pondquay/budgets/sizing.py
@@ -37,7 +37,7 @@
     """
 
     def decide(self, view: GrantView) -> int:
-        """Cover waiting requests; otherwise adjust to the target beyond a slack."""
+        """Cover waiting requests; otherwise adjust differences beyond a slack."""
         target = max(view.requested, self._target(view))
         distance = target - view.available - view.reserved
         slack = max(view.largest, int(SLACK_FRACTION * target))
@@ -52,6 +52,7 @@
     def _target(self, view: GrantView) -> int:
         share = view.rate / view.fleet_rate if view.fleet_rate > 0 else 0.0
         if share == 0.0:
+            # Without known demand, a quarter of an equal share.
             share = 1.0 / (4 * max(1, view.instances))
         limit = max(MIN_REQUESTS * view.largest, int(view.rate * OUTAGE_SECONDS))
         if view.largest == 0:
--- a/packages/pondquay/src/pondquay/budgets/succession.py
+++ b/packages/pondquay/src/pondquay/budgets/succession.py
@@ -115,13 +115,15 @@
 
     def _close(self, grant: WitnessedGrant, sealed: SealedGrant) -> Program[None]:
         closing = self._witness.describe_close(grant, self._next_segment())
-        # An earlier attempt to close whose response was lost may have stored its list.
+        # An earlier close whose response was lost may have taken effect. Then the row
+        # holds the attempts that were open at that time, so these are kept as well.
         sealed.held |= set(closing.held)
         outcome = yield from close_grant(closing)
         if not isinstance(outcome, Closed):
             return
         sealed.closed = True
         if not outcome.by_caller:
+            # The row, written by another close, may hold attempts that ended since.
             sealed.held |= set(grant.bills)
 
     def _resolve(
--- a/packages/pondquay/src/pondquay/routing/directory.py
+++ b/packages/pondquay/src/pondquay/routing/directory.py
@@ -37,8 +37,9 @@
     does not.
 
     :param clock: returns the time in seconds
-    :param last_complete_at: returns the time as of which the list was known in full
-        before the row that is being applied, in seconds, ``None`` if it never was
+    :param last_complete_at: returns the time as of which the store last confirmed the
+        list, before the response that is being applied, in seconds; ``None`` if it
+        never did
     :ivar evacuations: the domains that operators have evacuated
     :ivar reach: which domains this instance can reach
     """
@@ -69,7 +70,7 @@
         return list(self._known.values())
 
     def list_departed(self) -> list[str]:
-        """Return the names of departed upstreams, which get no new requests."""
+        """Return the incarnations of departed upstreams that are still known."""
         now = self._clock()
         return [
             upstream.name
@@ -185,10 +186,10 @@
         return known
 
     def discard(self, name: str, version: int) -> KnownUpstream | None:
-        """Apply an unreadable row, which another program must have written.
+        """Apply a row that cannot be parsed.
 
-        Its upstream gets no requests until it writes the row again, even if there is no
-        other upstream.
+        The upstream of the row gets no requests until a newer, readable row is applied,
+        even if there is no other upstream.
 
         :returns: the upstream, ``None`` if nothing changed
         """
--- a/packages/pondquay/src/pondquay/routing/issuers.py
+++ b/packages/pondquay/src/pondquay/routing/issuers.py
@@ -2,7 +2,7 @@
 
 By rendezvous hashing, the instances of each domain agree on a representative for each
 limited upstream. The representative of the upstream's own domain issues the permits, or
-that of another domain if this domain is unreachable. An instance requests permits
+that of another domain if the upstream's is unreachable. An instance requests permits
 from its domain's representative, and the representative from the issuer, so no instance
 needs links to all others.
 
@@ -173,7 +173,10 @@
     def _find_issuer(
         self, ranks: Mapping[str, list[str]], order: list[str]
     ) -> str | None:
-        """Return the representative of the first domain that can be reached."""
+        """Return the representative of the first domain that can be reached.
+
+        :returns: ``None`` while links to a domain that precedes it are requested
+        """
         for domain in order:
             if domain == self._domain:
                 return self._instance
--- a/packages/pondquay/src/pondquay/routing/listwatch.py
+++ b/packages/pondquay/src/pondquay/routing/listwatch.py
@@ -6,8 +6,8 @@
 # as its renewal may be late. With up to 0.3 s for the notification, it stays below 2 s,
 # after which an upstream that has left must get no new requests.
 MISSING_GRACE_SECONDS = 1.5
-# Time within which upstreams rewrite rows that expired in an outage of the store, once
-# it is over.
+# Time after an outage of the store within which upstreams rewrite rows that expired in
+# it.
 ROW_RECOVERY_SECONDS = 2.0
 # No row expires in an interruption shorter than this, since rows outlast several
 # renewals, which come about once a second.
--- a/packages/pondquay/src/pondquay/routing/rendezvous.py
+++ b/packages/pondquay/src/pondquay/routing/rendezvous.py
@@ -18,9 +18,10 @@
     from pondquay.routing.knownupstreams import KnownUpstream
     from pondquay.routing.prompts import PromptPart
 
-# Running requests of this instance at an upstream from which the next in rank is used.
+# An upstream that runs this many requests of this instance is skipped, unless all do.
 MAX_RUNNING_BY_PREFIX = 8
-# Prompt tokens waiting for prefill at an upstream from which the next in rank is used.
+# If this many prompt tokens wait for prefill at the first upstream in rank, the
+# upstream with the fewest tokens to prefill is chosen instead.
 MAX_PREFILL_TOKENS = 24_000
 # Uncached tokens from which a prompt counts as long. Engines prefill some thousand
 # tokens in one pause of a stream, so shorter prompts do not extend it by much.
@@ -92,8 +93,8 @@
     upstream would get all requests at low load.
 
     :param domain: domain of this instance
-    :param max_running: running requests of this instance at each upstream of its domain
-        from which other domains are considered
+    :param max_running: other domains are considered if each upstream of this domain
+        runs at least this many requests of this instance
     """
     near = [upstream for upstream in candidates if upstream.record.domain == domain]
     best = min(near, key=_rank_by_use, default=None)
--- a/packages/pondquay/src/pondquay/routing/retryshares.py
+++ b/packages/pondquay/src/pondquay/routing/retryshares.py
@@ -1,9 +1,9 @@
 """Each instance's share of the fleet's retry budget, enforced without messages.
 
-In any time window, a service may receive from all instances together as many retries as
-a ratio of its requests plus a fixed number. Each instance applies the ratio to its own
-requests and uses only its share of the fixed number, so the total is also bounded in a
-partition.
+In any time window, the retries that a service receives from all instances together are
+at most a fraction of its requests plus a fixed number. Each instance applies the
+fraction to its own requests and uses only its share of the fixed number, so the total
+is also bounded in a partition.
 """
 
 from __future__ import annotations
@@ -16,8 +16,8 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-# Fraction of the ratio that is used, since a request may be counted in another window
-# than its retry.
+# Fraction of the configured ratio that is used, as a request and its retry may fall
+# into different windows.
 SAFETY_FACTOR = 0.75
 # Minimum number of shares into which the fixed number is divided.
 MIN_SHARES = 16
@@ -42,8 +42,8 @@
     """Counts first and further attempts by service over a sliding window.
 
     :param ratio: further attempts that the fleet may make per request
-    :param extra: further attempts that the fleet may make in a window in addition: the
-        fixed number
+    :param extra: fixed number of further attempts that the fleet may make in addition
+        in each window
     :param window: length of the window, in seconds
     :param instances: returns the number of known instances; while it is 0, none of
         ``extra`` is used
--- a/packages/pondquay/src/pondquay/routing/upstreams.py
+++ b/packages/pondquay/src/pondquay/routing/upstreams.py
@@ -55,7 +55,8 @@
     :param pace: seconds per token of a stream there, as a moving average; 0 if unknown
     :param backoff_until: time until which this instance sends it no requests, in
         seconds
-    :param prefixes: prompt prefixes that it reported as cached, as keys
+    :param prefixes: an ordered set of the prompt prefixes that it reported as cached;
+        the values have no meaning
     """
 
     name: str
