--- a/packages/pondquay/src/pondquay/budgets/programs.py
+++ b/packages/pondquay/src/pondquay/budgets/programs.py
@@ -40,6 +40,8 @@
     from pondquay.names import GrantId, InstanceId
     from pondquay.tables import Program
 
+# Maximum number of tries to commit in case of conflicts. After the last one, a program
+# returns the same result as if the table were unreachable for the commit.
 MAX_TRIES = 6
 
 
