--- a/packages/pondquay/src/pondquay/budgets/programs.py
+++ b/packages/pondquay/src/pondquay/budgets/programs.py
@@ -40,6 +40,8 @@
     from pondquay.names import GrantId, InstanceId
     from pondquay.tables import Program
 
+# Maximum number of tries to commit in case of conflicts. After the last one, a program
+# returns the same result as if the table were unreachable for the commit.
 MAX_TRIES = 6
 
 
@@ -249,7 +251,7 @@
 
 
 def _fence_rows(operation: str, keys: Sequence[str], rows: Rows) -> Transaction:
-    """Return a transaction that writes rows unchanged, under their versions."""
+    """Return a transaction that rewrites rows if their versions are unchanged."""
     present = [rows.rows[key] for key in keys if key in rows.rows]
     return Transaction(
         f"{operation}/fence",
