--- a/packages/pondquay-cli/src/pondquay_cli/commands/relays.py
+++ b/packages/pondquay-cli/src/pondquay_cli/commands/relays.py
@@ -12,7 +12,8 @@
 
     from pondquay_cli.client import OperatorClient
 
-# "emptied" shows evacuated domains, "refused" the number of blocked contents.
+# "emptied" shows evacuated domains, "refused" the number of request contents that are
+# refused because upstreams crashed while they ran them.
 COLUMNS = (
     "instance",
     "domain",
--- a/packages/pondquay-cli/src/pondquay_cli/commands/status.py
+++ b/packages/pondquay-cli/src/pondquay_cli/commands/status.py
@@ -18,7 +18,7 @@
 
 @COMMANDS.register("status")
 class StatusCommand(OperatorCommand):
-    """Show the state of the fleet that one of its instances reports."""
+    """Show the state of the fleet as one of its instances reports it."""
 
     help = "show the instances, the version in force, and which instances are behind"
     example = "pondquay status"
--- a/packages/pondquay-cli/src/pondquay_cli/commands/upstreams.py
+++ b/packages/pondquay-cli/src/pondquay_cli/commands/upstreams.py
@@ -17,13 +17,13 @@
 
 @COMMANDS.register("upstreams")
 class UpstreamsCommand(OperatorCommand):
-    """List the upstreams of the fleet."""
+    """List the upstreams that one instance knows."""
 
     help = "list upstreams with their state and load"
     example = "pondquay upstreams"
 
     async def run(self, client: OperatorClient, options: Namespace) -> CommandResult:
-        """Return the upstreams by name, each with the models it serves."""
+        """Return the upstreams, sorted by name, each with the models it serves."""
         content = await client.get("/upstreams")
         rows = [
             {
--- a/packages/pondquay-cli/src/pondquay_cli/logfiles.py
+++ b/packages/pondquay-cli/src/pondquay_cli/logfiles.py
@@ -12,7 +12,7 @@
 
 FIELD_PATTERN = re.compile(r'([\w-]+)=("(?:[^"\\]|\\.)*"|\S*)')
 EVENT_START = "time="
-# Events about an instance itself or its links to peers and dependencies. They are
+# Events that a relay logs about itself or its links to peers and dependencies. They are
 # related to every request at the instance.
 INSTANCE_STATE_EVENTS = frozenset(
     {
@@ -27,8 +27,8 @@
         "lines-left-out",
     }
 )
-# An event without a request id is related to a request if it has the same value in one
-# of these fields.
+# An event without a request id is related to a request if one of these fields has the
+# same value as in an event of the request.
 SUBJECT_FIELDS = ("upstream", "workspace")
 
 
--- a/packages/pondquay-daemon/src/pondquay_daemon/__main__.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/__main__.py
@@ -78,7 +78,8 @@
 def main(arguments: list[str] | None = None) -> int:
     """Run the daemon until it receives a signal to stop.
 
-    :returns: 0 after a planned stop, 1 after a failure, 2 for invalid settings
+    :returns: 0 after a planned stop or a passed check, 1 after a failure, 2 for invalid
+        settings
     """
     options = make_parser().parse_args(arguments)
     if options.border is not None:
--- a/packages/pondquay-daemon/src/pondquay_daemon/application.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/application.py
@@ -155,7 +155,10 @@
         return [budget.name for budget in self.configuration.document.list(Budget)]
 
     async def _update_peer_links(self) -> None:
-        """Keep links to the other entry instances that the platform lists."""
+        """Keep links to the other entry instances that the platform lists.
+
+        If it lists none, the known addresses are kept.
+        """
         addresses = {
             Address.parse(listed.peer)
             for listed in self.upstreams.listed
@@ -225,7 +228,7 @@
         self.configuration.receive_deltas(message)
 
     def receive_budget_call(self, message: HolderMessage | Recall) -> Any | None:
-        """Return the response to a budget message of a peer, ``None`` without any."""
+        """Return the response to a peer's budget message, ``None`` if there is none."""
         return self.grants.receive_call(message)
 
     def receive_budget_response(self, message: Any) -> None:
--- a/packages/pondquay-daemon/src/pondquay_daemon/calls.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/calls.py
@@ -96,7 +96,7 @@
     """The reason why a caller receives no complete response.
 
     :param outcome: whether the request ran, as far as is known
-    :param retry_after: seconds after which a retry may succeed, ``None`` if none can
+    :param retry_after: value of ``Retry-After`` in seconds, ``None`` without the header
     """
 
     code: RefusalCode
--- a/packages/pondquay-daemon/src/pondquay_daemon/completionruns.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/completionruns.py
@@ -33,7 +33,7 @@
 
 
 class CompletionRunner:
-    """Runs claimed chat completions."""
+    """Runs chat completions; unrepeatable requests must be claimed first."""
 
     def __init__(
         self,
@@ -56,7 +56,7 @@
     async def run(
         self, progress: Progress, call: CompletionCall, sink: FrameSink
     ) -> Delivered | Refusal:
-        """Run a completion to its end, with retries at other upstreams."""
+        """Run a completion to its end, with retries at other upstreams if possible."""
         while True:
             rank = PRIORITY_ORDER.index(call.priority)
             work = RequestProfile(call.reserve, call.prefix, rank)
@@ -153,7 +153,10 @@
     async def _give_up_started(
         self, progress: Progress, started: StartedAttempt
     ) -> None:
-        """Cancel an attempt that may have run; settle it if the engine responds."""
+        """Cancel an attempt that may have run, and settle it if its outcome is known.
+
+        Otherwise, the recovery task cancels it again later.
+        """
         upstream = started.placement.upstream
         self._attempts.avoid(progress, started)
         response = await self._engines.cancel(upstream.url, started.attempt.stream)
--- a/packages/pondquay-daemon/src/pondquay_daemon/configuration.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/configuration.py
@@ -52,7 +52,7 @@
             self._peers.request_deltas(self.document.version)
 
     def receive_version(self, version: int) -> None:
-        """Fetch all versions up to a reported one, if it is newer."""
+        """Fetch all versions up to a newer one, unless versions are being fetched."""
         if version > self.document.version and not self._fetching:
             spawn(self._fetch(version), "ConfigurationTask")
 
--- a/packages/pondquay-daemon/src/pondquay_daemon/endpoints/dumps.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/endpoints/dumps.py
@@ -57,6 +57,7 @@
             _dump_witnessed(grant)
             for grant in list(witness.grants.values())[:MAX_ITEMS]
         ],
+        # Bills since start that were not recorded in time.
         "bills_in_one_memory": components.grants.unrecorded_bills,
     }
 
--- a/packages/pondquay-daemon/src/pondquay_daemon/endpoints/sites.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/endpoints/sites.py
@@ -18,13 +18,13 @@
 
 
 class BoundedRequest(Request):
-    """A request that discards a body over the limit and sets ``too_large``."""
+    """A request that sets ``too_large`` and stops storing a body over the limit."""
 
     max_bytes = 1 << 20
     too_large = False
 
     def gotLength(self, length: int | None) -> None:  # noqa: N802
-        """Handle the announced length of the body."""
+        """Set ``too_large`` if the announced length of the body is over the limit."""
         if length is not None and length > self.max_bytes:
             self.too_large = True
         announced = 0 if self.too_large else length
--- a/packages/pondquay-daemon/src/pondquay_daemon/engines.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/engines.py
@@ -98,7 +98,8 @@
 class FrameReceiver(Protocol):
     """Parses the events of one stream and reports its frames.
 
-    It aborts a connection that receives nothing for ``STALL_TIMEOUT_SECONDS``.
+    It aborts a connection that receives nothing for ``STALL_TIMEOUT_SECONDS`` or a line
+    over ``MAX_LINE_BYTES``.
 
     :ivar ended: fires with whether the connection ended cleanly
     """
@@ -233,8 +234,8 @@
         """Fetch the frames of a stream from an offset on.
 
         :returns: whether the connection ended cleanly
-        :raises RefusedError: if the engine does not have the stream
-        :raises MayHaveRunError: if the engine does not respond
+        :raises RefusedError: if the engine refuses or does not have the stream
+        :raises MayHaveRunError: if there was no valid response
         """
         try:
             response = await self._http.get(
@@ -284,7 +285,7 @@
             return StreamStatus(StreamState.UNREACHABLE)
 
     async def read_load(self, url: str) -> dict[str, Any] | None:
-        """Return an upstream's load report, ``None`` if there is no response."""
+        """Return an upstream's load report, ``None`` if there is no valid response."""
         try:
             response = await self._http.get(
                 f"{url}/v1/load", timeout=REQUEST_TIMEOUT_SECONDS
--- a/packages/pondquay-daemon/src/pondquay_daemon/errors.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/errors.py
@@ -4,7 +4,7 @@
 
 
 class DaemonError(Exception):
-    """Base of every error that the daemon raises."""
+    """Base class of the exceptions in this module."""
 
 
 class NotSentError(DaemonError):
--- a/packages/pondquay-daemon/src/pondquay_daemon/grants.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/grants.py
@@ -326,6 +326,8 @@
     async def return_unspent(self, count_running: Callable[[], int]) -> bool:
         """Close all grants for a planned stop; return ``True`` once all are closed.
 
+        No grant is closed while requests are in progress.
+
         :param count_running: returns the number of requests in progress
         """
         self._stopping = True
--- a/packages/pondquay-daemon/src/pondquay_daemon/peers.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/peers.py
@@ -51,7 +51,7 @@
 
     @abstractmethod
     def receive_budget_call(self, message: Any) -> Any | None:
-        """Return the response to a budget message of a peer, ``None`` without any."""
+        """Return the response to a peer's budget message, ``None`` if there is none."""
 
     @abstractmethod
     def receive_budget_response(self, message: Any) -> None:
@@ -96,7 +96,7 @@
         self.repeat(HEARTBEAT_INTERVAL_SECONDS, self._send_heartbeat)
 
     async def stop(self) -> None:
-        """Close all links and stop the task's loops."""
+        """Close all links and stop dialling peers."""
         with self.links:
             await self.links.close()
 
@@ -157,7 +157,8 @@
     ) -> list[tuple[InstanceId, FoundRequest]]:
         """Ask the peers of the same domain for a running attempt of a request.
 
-        :returns: the peers that know an attempt or its live holder, and their responses
+        :returns: the peers that run the request or witness an attempt of it, with their
+            responses
         """
         recipients = [
             peer
--- a/packages/pondquay-daemon/src/pondquay_daemon/platform.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/platform.py
@@ -204,7 +204,10 @@
         return content if response.code == OK else None
 
     async def store_object(self, key: str, content: bytes) -> bool:
-        """Store an object; return whether it was stored. The call is idempotent."""
+        """Store an object; return whether the platform confirmed it.
+
+        The call is idempotent and may be repeated.
+        """
         try:
             response = await self._http.put(
                 f"{self._url}/objects/{key}",
--- a/packages/pondquay-daemon/src/pondquay_daemon/recovery.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/recovery.py
@@ -69,7 +69,10 @@
 
 
 class Recovery(Task):
-    """Seals grants of dead peers, resolves their attempts, and folds bills."""
+    """Seals grants of dead peers, resolves their attempts, and folds bills.
+
+    Folding moves stored segments of bills into the ledger.
+    """
 
     def __init__(
         self,
@@ -106,7 +109,7 @@
         return self._grants.witness
 
     async def _fold(self) -> None:
-        """Fold bills if this instance holds the lease for doing so."""
+        """Fold bills into the ledger if this instance holds the fold lease."""
         await self._platform.run(self._fold_lease.renew(self.clock.seconds()))
         if not self._fold_lease.held:
             return
@@ -118,7 +121,7 @@
     # Attempts of this instance with an unknown outcome
 
     def track_unresolved(self, attempt: Attempt, upstream: str) -> None:
-        """Cancel an attempt that may have run until its outcome is known."""
+        """Register an attempt to be cancelled repeatedly until its outcome is known."""
         self._unresolved[attempt.id] = (attempt, upstream)
 
     async def _cancel_unresolved(self) -> None:
@@ -172,7 +175,7 @@
             await self._platform.run(self.succession.seal_unknown_grants(holder))
 
     async def _query_open_attempts(self, grant: WitnessedGrant) -> None:
-        """Query engines for the outcome of a dead holder's open attempts."""
+        """Record the outcomes that engines report for a dead holder's open attempts."""
         for seq, intent in list(grant.open.items()):
             upstream = self._upstreams.known.get(intent.upstream)
             if upstream is None or upstream.kind != ENGINE:
@@ -205,8 +208,8 @@
     async def _resolve_orphans(self) -> None:
         """Resolve the attempts in sealed grants whose holders are dead.
 
-        Such attempts were running when their holder sealed the grant because its
-        witness was missing, and had not ended when the holder died.
+        These attempts were running when their grant was sealed, and their holder died
+        before it recorded their outcomes. The instance with the fold lease does this.
         """
         if not self._fold_lease.held:
             return
--- a/packages/pondquay-daemon/src/pondquay_daemon/serviceruns.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/serviceruns.py
@@ -24,7 +24,7 @@
 
 
 class ServiceRunner:
-    """Makes claimed calls to plain services."""
+    """Makes calls to plain services; unrepeatable calls must be claimed first."""
 
     def __init__(
         self,
@@ -43,7 +43,7 @@
     async def run(
         self, progress: Progress, call: PlainCall
     ) -> CachedResponse | Refusal:
-        """Make a call, with retries at other upstreams."""
+        """Make a call, with retries at other upstreams if possible."""
         while True:
             requirements = UpstreamRequirements(
                 call.request,
--- a/packages/pondquay-daemon/src/pondquay_daemon/upstreams.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/upstreams.py
@@ -255,7 +255,10 @@
     def _prefer_local(
         self, local: list[Upstream], untried: list[Upstream]
     ) -> list[Upstream]:
-        """Return the local upstreams with a free slot, or all untried without any."""
+        """Return the local upstreams with a free slot.
+
+        If there is none, all untried upstreams are returned.
+        """
         free = [upstream for upstream in local if upstream.running < upstream.slots]
         return free or untried
 
@@ -301,7 +304,7 @@
         """Return whether a request's partner may use an upstream.
 
         Services and upstreams without a partner are open to all partners; engines of a
-        partner are open to that partner, and as many as it lends also to a borrower.
+        partner are open to that partner, and the lent number of them to a borrower.
         """
         if (
             upstream.partner in ("", requirements.partner)
--- a/packages/pondquay-lab/src/pondquay_lab/bench.py
+++ b/packages/pondquay-lab/src/pondquay_lab/bench.py
@@ -1,7 +1,8 @@
 """Benchmark of the budget and routing policies, in virtual time.
 
-Writes a table, a CSV file and a plot; results are reproducible. ``make bench`` runs all
-studies, ``python -m pondquay_lab.bench --only routing`` runs a single one.
+Prints a table and writes a CSV file and a plot; results are reproducible.
+``make bench`` runs all studies, ``python -m pondquay_lab.bench --only routing`` runs a
+single one.
 """
 
 from __future__ import annotations
--- a/packages/pondquay-lab/src/pondquay_lab/budgetscenarios.py
+++ b/packages/pondquay-lab/src/pondquay_lab/budgetscenarios.py
@@ -41,7 +41,7 @@
 
 @dataclass(slots=True)
 class BudgetResults:
-    """Measurements of the measured hour.
+    """Measurements of a run; requests are counted in the measured hour only.
 
     :param false_refusals: requests refused although the budget could cover them
     :param overspend: tokens spent beyond the limit
--- a/packages/pondquay-lab/src/pondquay_lab/experiment/plans.py
+++ b/packages/pondquay-lab/src/pondquay_lab/experiment/plans.py
@@ -83,6 +83,7 @@
     """Read and validate a plan.
 
     :raises InvalidInputError: with all findings in the file
+    :raises OSError: if the file cannot be read
     """
     findings = Findings()
     document = read_ini(path.read_text(), str(path), findings)
--- a/packages/pondquay-lab/src/pondquay_lab/slopes.py
+++ b/packages/pondquay-lab/src/pondquay_lab/slopes.py
@@ -49,7 +49,7 @@
     """Cost of one more item of a kind.
 
     :param memory_bytes: allocated memory
-    :param seconds: time to build the item
+    :param seconds: time to build the item, or to consider it in a choice
     :param wire_bytes: size of the message between instances, 0 if there is none
     """
 
@@ -143,6 +143,7 @@
     return upstreams
 
 
+# Cached, so that the timed runs measure only the choice.
 @cache
 def build_known_upstreams(count: int) -> list[KnownUpstream]:
     """Return a number of upstreams, half of which have the prompt's prefix cached."""
