--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/allotmentrows.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/allotmentrows.py
@@ -100,8 +100,9 @@
     async def close(self, name: str, account: Account) -> bool | None:
         """Remove this instance's entry from the row.
 
-        :returns: whether the account is closed, also if the outcome of the write is
-            unknown; ``None`` if the row has changed and the write should be retried
+        :returns: ``True`` if the account is closed, the outcome of the write is unknown
+            or there is nothing to return; ``None`` if the row has changed and the write
+            should be retried; ``False`` otherwise
         """
         if account.row.find(account.holder, account.boot) is None:
             return account.unspent == 0
@@ -127,10 +128,11 @@
 
 
 def apply_row(name: str, account: Account, row: Row | None) -> bool:
-    """Update an account from its row, ``None`` if the row does not exist.
+    """Update an account from its row.
 
     A malformed row leaves the account as it is and is not overwritten.
 
+    :param row: ``None`` if the row does not exist
     :returns: whether the row could be parsed
     """
     if row is None:
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/components.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/components.py
@@ -32,8 +32,8 @@
     :param list_age: returns the seconds since the list of upstreams was confirmed,
         ``None`` if it never was
     :param announce_departure: announces to peers that an upstream is leaving
-    :param announce_load: announces to peers the load of an upstream, and the shared
-        prompt parts that it has prefilled
+    :param announce_load: announces to peers this instance's load at an upstream, and
+        the shared prompt parts that the upstream has prefilled
     """
 
     clock: IReactorTime
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/crashmonitor.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/crashmonitor.py
@@ -2,8 +2,8 @@
 
 A broken connection does not show whether the upstream crashed. Shortly afterwards its
 address is checked. If the connection is refused, the upstream crashed under all
-requests that were lost with it. If the check times out, the upstream counts as crashed
-once its row is removed from the list.
+requests that were lost with it. If the check is inconclusive, the upstream counts as
+crashed if its row is removed from the list soon after the connection broke.
 """
 
 from __future__ import annotations
@@ -179,7 +179,7 @@
         return Refusal(UNAVAILABLE, BLOCKED_REASON, blocked.retry_after)
 
     def start_trial(self, content: bytes) -> bool:
-        """Start a trial of a blocked request if one is due; return whether it is."""
+        """Start a trial of a blocked content if one is due; return whether it was."""
         report = self.history.start_trial(content)
         if report is None:
             return False
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/crashrows.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/crashrows.py
@@ -77,7 +77,7 @@
         for row in rows[MAX_BLOCKED : MAX_BLOCKED + MAX_DELETED]:
             await self._commit(row.key, row.version, None)
 
-    def keep(self, report: CrashReport) -> None:
+    def schedule_write(self, report: CrashReport) -> None:
         """Schedule a write of a content's row."""
         self._changed[report.content] = None
         if not self._writing:
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/egress.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/egress.py
@@ -268,7 +268,7 @@
 class EgressPool:
     """Opens connections, and keeps idle ones by address for reuse.
 
-    :ivar opened: number of connections that were opened
+    :ivar opened: number of connections that were opened, including failed attempts
     """
 
     def __init__(self, reactor: Any) -> None:
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/heads.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/heads.py
@@ -25,7 +25,7 @@
     }
 )
 
-# Digits of a keep-alive time-out that are parsed; further ones are ignored.
+# Digits of a keep-alive timeout that are parsed; further ones are ignored.
 MAX_DIGITS = 9
 
 
@@ -60,9 +60,9 @@
 
 
 def keep_alive_seconds(headers: HeaderList) -> int | None:
-    """Return the idle time-out of a connection from its ``Keep-Alive`` header.
+    """Return the idle timeout of a connection from its ``Keep-Alive`` header.
 
-    :returns: seconds, ``None`` if the message has no valid time-out
+    :returns: seconds, ``None`` if the message has no valid timeout
     """
     value = find_header(headers, b"keep-alive")
     if value is None:
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/ingress.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/ingress.py
@@ -231,7 +231,7 @@
             self._no_body = event.method == b"HEAD"
             self._body = []
             self._body_size = 0
-            # A body may take longer than a head, up to the idle time-out.
+            # A body may take longer than a head, up to the idle timeout.
             self._start_timer(
                 self._handler.limits().idle_timeout, self._on_read_timeout
             )
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/linkplans.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/linkplans.py
@@ -18,11 +18,11 @@
 # Of two instances, the one whose name sorts first opens the link. The other opens it
 # only after this delay, so that they do not open two links when the fleet starts.
 FALLBACK_OPEN_SECONDS = HEARTBEAT_SECONDS
-# Maximum number of links to instances in the own domain, which lend tokens.
+# Maximum number of links to instances in the same domain, some of which lend tokens.
 MAX_NEAR_LINKS = 64
 # Maximum number of links to co-lenders in other domains.
 MAX_CO_LENDER_LINKS = 24
-# Number of links to other domains up to which links to further instances there are
+# Number of links to other domains below which links to random instances there are
 # opened, so that announcements reach all domains.
 MAX_FAR_LINKS = 16
 
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/loadannouncer.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/loadannouncer.py
@@ -1,4 +1,4 @@
-"""Announcements of the prompt tokens that wait at upstreams, batched for peers."""
+"""Batched announcements of an instance's prompt tokens that wait at upstreams."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class LoadAnnouncer:
-    """Collects changes of upstreams' loads and announces them together.
+    """Collects changes of this instance's loads and announces them together.
 
     Most prompts are processed before an announcement is due and need not be announced,
     which saves bandwidth in large fleets.
@@ -42,9 +42,9 @@
     def announce(
         self, upstream: str, count: Callable[[], int], parts: Iterable[str]
     ) -> None:
-        """Schedule an announcement of an upstream's load to all peers.
+        """Schedule an announcement of this instance's load at an upstream.
 
-        :param count: returns the prompt tokens that wait at the upstream; called when
+        :param count: returns its prompt tokens that wait at the upstream; called when
             the announcement is sent
         :param parts: shared parts that the upstream has processed
         """
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/messages.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/messages.py
@@ -42,7 +42,8 @@
     :param attempt: the caller's identifier of this attempt
     :param key: the caller's key, ``None`` if it sent none
     :param deadline: seconds that the caller will wait, ``None`` if unknown
-    :param prefix: parts of the prompt in order, of which the first may be shared
+    :param prefix: parts of the prompt in order; other prompts may share all but the
+        last, and also the last if it is the only part
     :param last_event: number of the last event that the caller has received
     """
 
@@ -96,7 +97,7 @@
     """What an upstream reports about itself in a response.
 
     :param leaving: whether it stops soon and accepts no new work
-    :param cold: seconds for which it can still serve only few requests
+    :param cold: seconds for which it can still serve only a few requests
     :param backoff: seconds for which it accepts no request from this instance
     :param limit: requests per second that it accepts from all instances together,
         ``None`` if the response has no valid limit
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/observers.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/observers.py
@@ -81,7 +81,7 @@
             self._note_leaving(self._latest_delivery(now))
 
     def _latest_delivery(self, now: float) -> float:
-        """Return the time by which the request had reached the upstream, in seconds."""
+        """Return the latest time, in seconds, at which the request can have arrived."""
         return min(now, self._sent_at + CONNECT_SECONDS)
 
     def _note_leaving(self, delivered_at: float) -> None:
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/peers.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/peers.py
@@ -162,9 +162,9 @@
     def announce_load(
         self, upstream: str, count: Callable[[], int], parts: Iterable[str]
     ) -> None:
-        """Schedule an announcement of an upstream's load to all peers.
+        """Schedule an announcement of this instance's load at an upstream.
 
-        :param count: returns the prompt tokens that wait at the upstream
+        :param count: returns its prompt tokens that wait at the upstream
         :param parts: shared parts that the upstream has processed
         """
         self._load_announcer.announce(upstream, count, parts)
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/permits.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/permits.py
@@ -86,7 +86,7 @@
         It waits only briefly for permits that have been requested, since other
         upstreams may serve the request.
 
-        :param until: time by which the request has to be sent or refused, in seconds
+        :param until: time until which the request may wait for permits, in seconds
         :returns: whether there was a permit, or none is needed
         """
         if not upstream.is_limited():
@@ -134,8 +134,9 @@
         """Record the limit that a response reports, and announce a change to peers.
 
         :param rate: requests per second, ``None`` if the response reports no limit
-        :param requested_at: time at which the request was placed, in seconds
-        :param delivered_at: time by which it had reached the upstream, in seconds
+        :param requested_at: time at which the attempt began, in seconds
+        :param delivered_at: latest time at which the request can have reached the
+            upstream, in seconds
         """
         before = upstream.limit.rate
         limit = RateLimit(rate, self._clock.seconds())
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/prefills.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/prefills.py
@@ -60,8 +60,8 @@
     def note_prefilled(self) -> None:
         """Record that the prompt has been prefilled, so its shared parts are cached.
 
-        Must not be called for a rejected request, which would attract prompts with the
-        same parts to an upstream that has not cached them.
+        Must not be called for a rejected request: prompts with the same parts would
+        then be sent to an upstream that has not cached them.
         """
         if self._uncached:
             new = self._upstream.prompts.note_prefilled(list_shared(self._prefix))
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/relay.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/relay.py
@@ -173,7 +173,7 @@
                 settings.instance,
                 lambda: self._peers.domains,
                 self._peers.announce_crashes,
-                lambda report: self._crash_rows.keep(report),
+                lambda report: self._crash_rows.schedule_write(report),
                 metrics,
             ),
             permits,
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/reservations.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/reservations.py
@@ -22,7 +22,7 @@
     """The reserved tokens of one request.
 
     :param workspace: ``None`` for requests without a budget
-    :ivar used: tokens used by the last settlement, at most those reserved
+    :ivar used: tokens that the last settlement charged, at most those reserved
     """
 
     def __init__(
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/sending.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/sending.py
@@ -117,7 +117,7 @@
         age = components.list_age()
         missing_since = chosen.missing_since
         # reading: prompt tokens of this instance that wait for prefill; waiting: those
-        # of all instances; gone: seconds since the row is missing, -1 if it is listed.
+        # of all instances; gone: seconds since the row went missing, -1 if listed.
         log_event(
             "upstream-chosen",
             request=self._metadata.attempt,
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/settings.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/settings.py
@@ -42,7 +42,7 @@
     :param callers: address that serves callers
     :param readiness: address that serves readiness probes of the load balancer
     :param store: address of the store
-    :param peers: address for links of other instances
+    :param peers: address at which links from other instances are accepted
     :param seeds: ``peers`` addresses of some other instances
     :param bounds: limits agreed on by the operators
     :param reports: address of metrics and state dumps, ``None`` to serve none
