--- a/packages/pondquay-daemon/tests/relay/test_callers_leave.py
+++ b/packages/pondquay-daemon/tests/relay/test_callers_leave.py
@@ -19,7 +19,7 @@
     b"11\r\nid: 1\ndata: one\n\n\r\n"
 )
 PATHS = ["/read/x", "/stream/x"]
-# Longer than the time-out of the routes.
+# Longer than the timeout of the routes.
 LONG_SECONDS = 3.0
 
 
