--- a/packages/pondquay-daemon/tests/relay/test_peers.py
+++ b/packages/pondquay-daemon/tests/relay/test_peers.py
@@ -175,7 +175,7 @@
 def test_links_stay_open_whichever_end_uses_them(links: int) -> None:
     pair = Pair(links)
     if links == 2:
-        # The instances use different links of the two.
+        # Each instance sends on a different link.
         first, second = (mesh for mesh in pair.meshes)
         first._links["b"] = pair.ends[0][0]
         second._links["a"] = pair.ends[1][1]
