--- a/packages/pondquay-standins/src/pondquay_standins/routedfleet.py
+++ b/packages/pondquay-standins/src/pondquay_standins/routedfleet.py
@@ -26,7 +26,7 @@
 ENGINE_SERVICE = "judge"
 PLAIN_SERVICE = "board"
 STOP_SECONDS = 4
-# Timeout of most routes.
+# Timeout of all routes but ``review``.
 DEFAULT_TIMEOUT_SECONDS = 2
 # Log events of unexpected exceptions in a relay.
 INTERNAL_ERROR_EVENTS = (
@@ -64,7 +64,7 @@
 class RelayResponse:
     """A response that a caller received.
 
-    :ivar complete: whether the body was received up to its end
+    :ivar complete: whether the complete body was received
     """
 
     status: int
@@ -76,10 +76,11 @@
 def make_configuration(
     version: int, prepaid: int = 1_000_000, review_seconds: int = 10
 ) -> dict[str, Any]:
-    """Return a configuration with a route of each kind.
+    """Return a configuration with routes of every kind.
 
-    :param prepaid: tokens of the workspace
-    :param review_seconds: timeout of the streaming route that does not resume
+    :param prepaid: prepaid tokens of the workspace
+    :param review_seconds: timeout of ``review``, the route that streams but does
+        not resume
     """
 
     def route(name: str, kind: str, service: str, **fields: Any) -> dict[str, Any]:
@@ -165,7 +166,8 @@
     ) -> None:
         """Kill all processes.
 
-        :raises AssertionError: if a relay logged an internal error
+        :raises AssertionError: if a relay logged an internal error and the context ends
+            without an exception
         """
         with self._stack:
             errors = self.list_internal_errors()
@@ -183,7 +185,7 @@
         ]
 
     def start_replicas(self, service: str, *names: str) -> None:
-        """Start replicas of a service and list them."""
+        """Start replicas of a service and add their rows to the store."""
         for name in names:
             self.replica_ports[name] = pick_port()
             self.control(
@@ -199,7 +201,7 @@
         self.control("put", table="op", key="config", value=configuration)
 
     def start_relay(self, name: str, *, wait: bool = True) -> Relay:
-        """Start a relay, or restart it on its ports.
+        """Start a relay, or restart a known relay on its previous ports.
 
         :param wait: whether to wait until it is ready
         """
@@ -272,7 +274,7 @@
             connection.close()
 
     def find_store_port(self, relay: str) -> int:
-        """Return the port on which a relay connects to the store."""
+        """Return the port to which a relay connects to reach the store."""
         return self.store_port
 
     def runs(self) -> list[dict[str, Any]]:
@@ -282,7 +284,7 @@
         return found
 
     def arrivals(self) -> list[Arrival]:
-        """Return the arrivals at all replicas, of requests that ran or not."""
+        """Return the requests that reached replicas, whether they ran or not."""
         url = f"http://{HOST}:{self.control_port}/arrivals"
         found: list[dict[str, Any]] = call_http("GET", url).json()
         return [Arrival(**arrival) for arrival in found]
@@ -294,7 +296,7 @@
         return found
 
     def allotments(self, workspace: str) -> dict[str, Any]:
-        """Return the allotment row of a workspace, empty if there is none."""
+        """Return the allotment of a workspace, or an empty object if it has none."""
         for row in self.rows("allotments"):
             if row["key"] == workspace:
                 value: dict[str, Any] = json.loads(b64decode(row["value"]))
@@ -329,7 +331,7 @@
     def spawn(
         self, name: str, module: str, environment: dict[str, str], *arguments: str
     ) -> Process:
-        """Start a Python module as a process that is killed with the fleet."""
+        """Start a Python module as a process, which is killed when the fleet ends."""
         log = self.folder / f"{name}.log"
         with log.open("ab") as out:
             popen = subprocess.Popen(
@@ -356,7 +358,7 @@
         while piece := response.read1(65536):
             body += piece
         complete = response.length in (None, 0)
-        # Ends the response, so that the connection can be reused.
+        # Closes the response, so that the connection can be reused.
         response.read()
     except (OSError, HTTPException):
         return body, False
--- a/packages/pondquay-standins/src/pondquay_standins/routedplatform.py
+++ b/packages/pondquay-standins/src/pondquay_standins/routedplatform.py
@@ -1,7 +1,7 @@
 """Stand-in for the platform of routed requests, as a single process.
 
-It runs the row store, replicas that list themselves there, and a control endpoint on
-which tests set faults and read which requests ran.
+It runs the row store, replicas that write their rows to it, and a control endpoint with
+which tests set faults and read the requests that ran.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 
 def change_replica(replica: Replica, action: str, body: dict[str, Any]) -> None:
-    """Change a replica's fault or what its responses announce."""
+    """Change the fault, back-off, limit or leaving state of a replica."""
     if action == "replica":
         replica.fault = ReplicaFault(body["fault"])
     elif action == "say-leaving":
@@ -49,7 +49,7 @@
         self.replicas: dict[str, Replica] = {}
         self._listening: dict[str, Any] = {}
         self._ports: dict[str, int] = {}
-        # Port and state in the row of each replica.
+        # Port and state that each replica's row has.
         self._listed: dict[str, tuple[int, str]] = {}
 
     def put(self, table: str, key: str, value: object) -> None:
@@ -64,15 +64,17 @@
             self._listed.pop(key, None)
         self.store.transact({"delete": [{"table": table, "part": "", "key": key}]})
 
-    def start_replica(self, described: dict[str, Any]) -> None:
+    def start_replica(self, description: dict[str, Any]) -> None:
         """Start a replica and write its row."""
-        replica = Replica(described["name"], described["service"], described["zone"])
-        self._ports[replica.name] = described["port"]
+        replica = Replica(
+            description["name"], description["service"], description["zone"]
+        )
+        self._ports[replica.name] = description["port"]
         self._start_incarnation(replica)
-        self.list_replica(replica.name, described["port"], "ready")
+        self.list_replica(replica.name, description["port"], "ready")
 
     def crash(self, name: str) -> None:
-        """Crash a replica, which restarts after ``RESTART_SECONDS``."""
+        """Crash a running replica, which restarts after ``RESTART_SECONDS``."""
         listening = self._listening.pop(name, None)
         if listening is None:
             return
@@ -107,7 +109,7 @@
         )
 
     def list_replica(self, name: str, port: int, state: str) -> None:
-        """Write a replica's row; the state ``draining`` makes it leave."""
+        """Write a replica's row; the state ``draining`` marks it as leaving."""
         replica = self.replicas[name]
         self._listed[name] = (port, state)
         replica.sequence += 1
@@ -161,7 +163,7 @@
         return write_body(request, found)
 
     def show_arrivals(self, request: Request) -> bytes:
-        """Return the arrivals at all replicas."""
+        """Return the requests that reached replicas, whether they ran or not."""
         lists = [replica.arrivals for replica in self.replicas.values()]
         return write_body(
             request, [asdict(arrival) for arrivals in lists for arrival in arrivals]
--- a/packages/pondquay-standins/src/pondquay_standins/service.py
+++ b/packages/pondquay-standins/src/pondquay_standins/service.py
@@ -1,7 +1,7 @@
 """Stand-in for a plain service: a ranking board whose writes must not run twice.
 
-Faults are set by ``POST /faults``: ``hang`` (calls run but get no response) and
-``leaving`` (the load report announces that the service leaves).
+Faults are set by ``POST /faults``: ``hang`` (calls of ``/entries`` run but get no
+response) and ``leaving`` (the load report announces that the service leaves).
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class Faults(BaseModel):
-    """Faults that are switched on."""
+    """The current faults."""
 
     model_config = ConfigDict(extra="forbid")
 
@@ -32,7 +32,10 @@
 
 
 class ServiceStandIn:
-    """Stores entries and logs every call that ran."""
+    """Stores entries and logs every call that ran.
+
+    :param name: name of the service in the load report
+    """
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -81,7 +84,7 @@
         return write_body(request, {"streams": self.log})
 
     def set_faults(self, request: Request) -> bytes:
-        """Switch faults on or off."""
+        """Change the given faults and return all of them."""
         changed = {**self.faults.model_dump(), **read_body(request)}
         self.faults = Faults.model_validate(changed)
         return write_body(request, self.faults.model_dump())
--- a/packages/pondquay-standins/src/pondquay_standins/suspendable.py
+++ b/packages/pondquay-standins/src/pondquay_standins/suspendable.py
@@ -1,7 +1,7 @@
 """Daemon with a simulated suspension of its host, for tests.
 
-SIGUSR1 advances the clock that includes time in suspension; the monotonic clock is not
-changed, as on a host that resumes.
+SIGUSR1 advances ``CLOCK_BOOTTIME``, which includes time in suspension, but not the
+monotonic clock, as a suspension of the host does.
 """
 
 from __future__ import annotations
--- a/packages/pondquay-standins/src/pondquay_standins/tables.py
+++ b/packages/pondquay-standins/src/pondquay_standins/tables.py
@@ -8,7 +8,10 @@
 
 @dataclass(slots=True)
 class TableRow:
-    """A row's value and version, which counts its writes."""
+    """A row's value and version.
+
+    :ivar version: number of writes since the row was created
+    """
 
     version: int
     value: Any
@@ -16,11 +19,11 @@
 
 @dataclass(slots=True)
 class Table:
-    """Versioned rows, with counts of the calls that used them.
+    """Versioned rows and counts of the calls to the table.
 
-    :ivar transactions: transactions, including those whose conditions failed
-    :ivar row_writes: rows written or deleted
-    :ivar reads: calls of :meth:`read`
+    :ivar transactions: number of transactions, including those that were not applied
+    :ivar row_writes: number of row writes, including deletions
+    :ivar reads: number of calls of :meth:`read`
     """
 
     rows: dict[str, TableRow] = field(default_factory=dict)
--- a/packages/pondquay-standins/src/pondquay_standins/workspaces.py
+++ b/packages/pondquay-standins/src/pondquay_standins/workspaces.py
@@ -1,4 +1,4 @@
-"""The usual workspaces of a fleet and their configuration."""
+"""The default workspaces of a fleet and their configuration."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 def configure_workspaces(fleet: Fleet) -> list[dict[str, Any]]:
-    """Configure the usual workspaces and return them with their keys."""
+    """Configure the default workspaces and return them with their keys."""
     described = []
     for name, partner, tokens in WORKSPACES:
         key = f"sk-{name}-{token_hex(8)}"
