--- a/packages/pondquay/src/pondquay/budgets/demands.py
+++ b/packages/pondquay/src/pondquay/budgets/demands.py
@@ -27,7 +27,7 @@
 class Demand:
     """Demand of a workspace at this instance.
 
-    :param budget: the budget's row as last read
+    :param budget: the budget's row as last read or written
     :param rate: tokens per second, as an average over the last minutes
     :param total: tokens reserved, with exponentially decaying weights
     :param seconds: time in which they were reserved, with the same weights
--- a/packages/pondquay/src/pondquay/budgets/programs.py
+++ b/packages/pondquay/src/pondquay/budgets/programs.py
@@ -77,7 +77,8 @@
     """The outcome of an adjustment.
 
     :param amount: the current amount of the grant in tokens, 0 if it is not open
-    :param budget: the budget as last read, ``None`` if the workspace has none
+    :param budget: the budget as last read or written, ``None`` if the workspace has
+        none
     :param lost_grant: whether the grant was created before and is no longer open
     """
 
--- a/packages/pondquay/src/pondquay/budgets/succession.py
+++ b/packages/pondquay/src/pondquay/budgets/succession.py
@@ -52,7 +52,8 @@
     :param instance: this incarnation of the witness
     :param witness: the grants that it witnesses
     :param directory: reports which holders are presumed dead
-    :ivar sealed: sealed grants whose attempts are not all resolved in the table
+    :ivar sealed: sealed grants that are not closed or have attempts that are not yet
+        resolved in the table
     """
 
     def __init__(
--- a/packages/pondquay/src/pondquay/routing/directory.py
+++ b/packages/pondquay/src/pondquay/routing/directory.py
@@ -388,7 +388,7 @@
         known.missing_since = known.missing_since or self._clock()
 
     def _forget_departed(self) -> None:
-        """Drop departed upstreams that run no request of this instance.
+        """Drop departed upstreams without a row that run no request of this instance.
 
         An upstream in back-off is kept until the back-off ends, and an upstream with a
         rate limit until ``LIMIT_RETENTION_SECONDS`` after its report, since its row may
--- a/packages/pondquay/src/pondquay/routing/prompts.py
+++ b/packages/pondquay/src/pondquay/routing/prompts.py
@@ -1,4 +1,4 @@
-"""Prompts as ordered parts, the first of which may be shared with other prompts."""
+"""Prompts as ordered parts, of which the leading ones may be shared with others."""
 
 from __future__ import annotations
 
--- a/packages/pondquay/src/pondquay/routing/ratelimits.py
+++ b/packages/pondquay/src/pondquay/routing/ratelimits.py
@@ -21,7 +21,8 @@
 REQUESTER_EXPIRY_SECONDS = 4.0
 # Turns per permit when several instances share a limit, since some turns go unused.
 TURNS_PER_PERMIT = 2.0
-# Maximum delay between two requests of an instance for permits, in seconds.
+# Maximum delay until an instance's next turn, in seconds. Under a limit below one
+# permit per this time, an instance may have to wait longer for the next permit.
 MAX_PAUSE_SECONDS = 3.0
 
 
--- a/packages/pondquay/src/pondquay/routing/upstreams.py
+++ b/packages/pondquay/src/pondquay/routing/upstreams.py
@@ -28,7 +28,7 @@
     """The load that an upstream reported.
 
     :param tokens: output tokens yet to be generated
-    :param slots: requests that the upstream runs at the same time
+    :param slots: maximum requests that the upstream runs at the same time
     :param received: when the report was received, in seconds
     :param streams: running and queued requests
     :param models: name and version of each loaded model
@@ -105,7 +105,7 @@
 
     @property
     def slots(self) -> int:
-        """Requests that the upstream runs at the same time."""
+        """Maximum requests that the upstream runs at the same time."""
         return 1 if self.report is None else max(1, self.report.slots)
 
     def has_capacity(self, rank: int) -> bool:
