--- a/packages/pondquay-standins/src/pondquay_standins/soak/runs.py
+++ b/packages/pondquay-standins/src/pondquay_standins/soak/runs.py
@@ -170,7 +170,10 @@
         return result
 
     def _inject_faults(self) -> None:
-        """Begin the faults as planned and end each after its duration."""
+        """Begin the faults as planned and end each after its duration.
+
+        Limits may outlast this method; ``FinalChecks`` clears them.
+        """
         began = time.monotonic()
         for fault in self._planned:
             self._run_scheduled_until(began + fault.at)
--- a/packages/pondquay-standins/src/pondquay_standins/soak/schedules.py
+++ b/packages/pondquay-standins/src/pondquay_standins/soak/schedules.py
@@ -84,7 +84,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannedFault:
-    """A fault of the timetable.
+    """A fault and when it begins.
 
     :param at: when it begins, in seconds from the beginning of fault injection
     :param seconds: how long it lasts, unused by kinds without an end
--- a/packages/pondquay/src/pondquay/billing/programs.py
+++ b/packages/pondquay/src/pondquay/billing/programs.py
@@ -63,6 +63,7 @@
 class Statement:
     """The account of a workspace with its billed requests.
 
+    :param requests: ledger entries of the billed requests, by request key
     :param pending: bills that are not folded into the ledger yet
     """
 
--- a/packages/pondquay/src/pondquay/claims/programs.py
+++ b/packages/pondquay/src/pondquay/claims/programs.py
@@ -106,7 +106,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Released:
-    """The claim was deleted or marked as finished, or has another nonce."""
+    """The claim was deleted or finished, or no claim with the nonce was found."""
 
 
 def release_claim(request: RequestName, nonce: str) -> Program[Released | Unreachable]:
--- a/packages/pondquay/src/pondquay/configuration/programs.py
+++ b/packages/pondquay/src/pondquay/configuration/programs.py
@@ -41,7 +41,10 @@
 
 
 def propose_plan(plan: Plan) -> Program[Proposed | Unreachable]:
-    """Store a plan under its identifier; the operation is idempotent."""
+    """Store a plan under its identifier; the operation is idempotent.
+
+    :returns: ``Unreachable`` also if it is unknown whether the plan is stored
+    """
     key = plan_key(plan.id)
     transaction = Transaction(
         f"propose/{plan.id}",
@@ -118,8 +121,10 @@
     """Store a partner's consent; put the plan in force if no consent is missing.
 
     Retries if a row that it read has changed or if the outcome of the commit is
-    unknown, and returns ``Unreachable`` after ``MAX_CONFIRM_ATTEMPTS`` attempts. The
-    operation is idempotent.
+    unknown. The operation is idempotent.
+
+    :returns: ``Unreachable`` also after ``MAX_CONFIRM_ATTEMPTS`` attempts, although an
+        attempt with an unknown outcome may have taken effect
     """
     for _ in range(MAX_CONFIRM_ATTEMPTS):
         rows = yield from read_rows(plan_key(plan_id), HEAD_KEY)
--- a/packages/pondquay/src/pondquay/errors.py
+++ b/packages/pondquay/src/pondquay/errors.py
@@ -50,4 +50,4 @@
 
 
 class InvariantError(PondquayError):
-    """A caller violated an invariant that the package relies on."""
+    """Calling code violated an invariant that the package relies on."""
--- a/packages/pondquay/src/pondquay/membership/messages.py
+++ b/packages/pondquay/src/pondquay/membership/messages.py
@@ -29,7 +29,7 @@
 class FindRequest:
     """Asks a peer for a running attempt of a request.
 
-    :param number: identifies the response
+    :param number: identifies this message; the response repeats it
     """
 
     number: int
--- a/packages/pondquay/src/pondquay/policy.py
+++ b/packages/pondquay/src/pondquay/policy.py
@@ -17,7 +17,9 @@
 
     :param share_loads: announce to peers the prompts that an upstream has yet to
         process, so that instances do not all queue prompts at the same upstream
-    :param borrow: borrow tokens from peers when the table does not grant them in time
+    :param borrow: borrow tokens from peers; an instance with an allotment does so when
+        the table does not grant them in time, an instance without an allotment when a
+        request lacks tokens and in advance
     :param return_surplus: return headroom that is well above its target
     :param last_part: fraction of the prepaid tokens reserved for small requests; it
         serves many callers when a loss of all instances leaves few tokens
@@ -34,11 +36,13 @@
     :param borrowed_of_left: fraction of a workspace's remaining tokens that an instance
         without an allotment may hold as headroom if its share of the fleet's headroom
         is smaller than this fraction or than its largest request
-    :param return_part: fraction of its largest request; an instance without an
-        allotment returns a surplus above it, or above the headroom that it may hold if
-        this is less, to a lender
+    :param return_part: fraction of an instance's largest request; an instance without
+        an allotment returns a surplus to a lender only if it exceeds this fraction or
+        the headroom that the instance may hold, whichever is less
     :param come_back_seconds: seconds that a caller is asked to wait before retrying
-        when this instance has no tokens for its request but a peer may have some
+        when this instance cannot reserve tokens for its request although the budget is
+        not exhausted; other delays apply during an outage of the table and before this
+        instance has read the workspace's row
     :param circuits: exclude upstreams that failed several times in a row
     :param leave_dark: treat a failure domain as unreachable for a short time after
         connections to two of its upstreams failed, other than by refusal, without a
--- a/packages/pondquay/src/pondquay/streamevents.py
+++ b/packages/pondquay/src/pondquay/streamevents.py
@@ -10,7 +10,7 @@
 
 
 class StreamOrderError(Exception):
-    """An event of a stream is missing, repeated or too long."""
+    """An event of a stream is missing, repeated, out of order or too long."""
 
 
 def read_event_id(event: bytes) -> int | None:
@@ -44,8 +44,8 @@
     def feed(self, data: bytes) -> bytes:
         """Return all events that are complete now; buffer an incomplete event.
 
-        :raises StreamOrderError: if an event is missing or repeated, or if more than
-            ``MAX_PENDING_BYTES`` contain no complete event
+        :raises StreamOrderError: if an event does not follow the previous event, or if
+            more than ``MAX_PENDING_BYTES`` contain no complete event
         """
         pending = self._pending + data
         end = pending.rfind(EVENT_END)
--- a/packages/pondquay/src/pondquay/streams.py
+++ b/packages/pondquay/src/pondquay/streams.py
@@ -37,7 +37,8 @@
 class Response:
     """A response that is being received.
 
-    Frames of other streams, repeated frames and frames after a gap are dropped.
+    Frames of other streams, repeated frames, and frames after a gap or after the end
+    are dropped.
 
     :param stream: name of the stream whose frames form the response
     :param dropped: number of dropped frames by verdict
--- a/packages/pondquay/src/pondquay/tables.py
+++ b/packages/pondquay/src/pondquay/tables.py
@@ -19,7 +19,7 @@
 class Row:
     """A row that was read from a table.
 
-    :param version: incremented by each write of the key, starting at 1
+    :param version: increases with each write of the row, always greater than ``ABSENT``
     """
 
     key: str
