--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/command.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/command.py
@@ -45,7 +45,7 @@
 def run_relay(options: RelayOptions) -> int:
     """Run a relay until a signal stops it.
 
-    :returns: 0 after a graceful stop, 2 for invalid settings
+    :returns: 0 after a graceful stop or a successful check, 2 for invalid settings
     """
     import_module(options.border)
     border = BORDERS.create(options.border)
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/crashmonitor.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/crashmonitor.py
@@ -56,7 +56,9 @@
 class _BrokenUpstream:
     """An upstream whose connections broke.
 
-    :param since: time of the first broken connection, in seconds
+    Upstreams that became unresponsive are included.
+
+    :param since: time of the first loss since the previous check, in seconds
     :param contents: contents of the requests that were lost
     :param checked: fires once the address has been checked
     """
@@ -94,9 +96,10 @@
         self._broken: dict[str, _BrokenUpstream] = {}
 
     def note_broken(self, upstream: KnownUpstream, content: bytes) -> None:
-        """Record that a request was lost with its connection.
+        """Record that a request was lost, so that its upstream is checked for a crash.
 
-        Upstreams that leave are ignored, since they are expected to exit.
+        Upstreams that leave or are missing from the list are ignored, since they are
+        expected to exit.
         """
         if upstream.leaving or upstream.missing_since is not None:
             return
@@ -315,7 +318,7 @@
             self._monitor.note_served(self.content)
 
     def note_broken(self, upstream: KnownUpstream, streamed: float) -> None:
-        """Record that the request was lost with its connection to an upstream.
+        """Record that the request was lost, as its connection broke or fell silent.
 
         :param streamed: seconds for which the upstream had streamed events
         """
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/errors.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/errors.py
@@ -10,7 +10,7 @@
 
 
 class MalformedValueError(RelayError):
-    """A value of the store, or a header, is malformed."""
+    """A value of the store, a header or a peer message is malformed."""
 
 
 class BrokenExchangeError(RelayError):
--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/sending.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/sending.py
@@ -28,7 +28,8 @@
 # request is repeatable.
 SILENCE_TIMEOUT_OBJECTIVES = 2.0
 MIN_SILENCE_SECONDS = 0.3
-# The same for an upstream that meanwhile responds to other requests.
+# Multiple of the objective before which a silent upstream is not abandoned if it
+# responds to other requests.
 BUSY_TIMEOUT_OBJECTIVES = 3.0
 # A request is not sent if less time is left until its deadline.
 MIN_REMAINING_SECONDS = 0.01
@@ -150,7 +151,7 @@
     async def send(self, upstream: KnownUpstream, *, last: bool) -> Outcome:
         """Send the request and return the outcome.
 
-        :param last: whether no other upstream may be tried afterwards
+        :param last: whether no other upstream may be tried if the request may have run
         """
         job, components = self._job, self._components
         remaining = job.deadline - components.clock.seconds()
