--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/crashmonitor.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/crashmonitor.py
@@ -54,9 +54,7 @@
 
 @dataclass(slots=True)
 class _BrokenUpstream:
-    """An upstream whose connections broke.
-
-    Upstreams that became unresponsive are included.
+    """An upstream whose connections broke or that became unresponsive.
 
     :param since: time of the first loss since the previous check, in seconds
     :param contents: contents of the requests that were lost
@@ -318,7 +316,9 @@
             self._monitor.note_served(self.content)
 
     def note_broken(self, upstream: KnownUpstream, streamed: float) -> None:
-        """Record that the request was lost, as its connection broke or fell silent.
+        """Record that the request was lost, as its upstream may have crashed.
+
+        Its connection broke, or the upstream became unresponsive.
 
         :param streamed: seconds for which the upstream had streamed events
         """
