--- a/packages/pondquay-daemon/src/pondquay_daemon/relay/crashmonitor.py
+++ b/packages/pondquay-daemon/src/pondquay_daemon/relay/crashmonitor.py
@@ -54,9 +54,9 @@
 
 @dataclass(slots=True)
 class _BrokenUpstream:
-    """An upstream whose connections broke.
+    """An upstream whose connections broke or that became unresponsive.
 
-    :param since: time of the first broken connection, in seconds
+    :param since: time of the first loss since the previous check, in seconds
     :param contents: contents of the requests that were lost
     :param checked: fires once the address has been checked
     """
@@ -94,9 +94,10 @@
         self._broken: dict[str, _BrokenUpstream] = {}
 
     def note_broken(self, upstream: KnownUpstream, content: bytes) -> None:
-        """Record that a request was lost with its connection.
+        """Record that a request was lost, so that its upstream is checked for a crash.
 
-        Upstreams that leave are ignored, since they are expected to exit.
+        Upstreams that leave or are missing from the list are ignored, since they are
+        expected to exit.
         """
         if upstream.leaving or upstream.missing_since is not None:
             return
@@ -315,7 +316,9 @@
             self._monitor.note_served(self.content)
 
     def note_broken(self, upstream: KnownUpstream, streamed: float) -> None:
-        """Record that the request was lost with its connection to an upstream.
+        """Record that the request was lost, as its upstream may have crashed.
+
+        Its connection broke, or the upstream became unresponsive.
 
         :param streamed: seconds for which the upstream had streamed events
         """
