--- a/packages/pondquay-standins/src/pondquay_standins/demo.py
+++ b/packages/pondquay-standins/src/pondquay_standins/demo.py
@@ -113,7 +113,7 @@
 
 
 def show_requests(fleet: Fleet, key: str) -> None:
-    """Request a complete and a streamed completion, and call a plain service."""
+    """Request a completion, plain and streamed, and call a plain service."""
     print("2. requests run through different instances, each with its bill")
     plain = fleet.complete(key, "caption this split", at=FIRST_INSTANCE)
     expect(plain.status == 200, "a completion succeeds")
--- a/packages/pondquay-standins/src/pondquay_standins/fleetparts.py
+++ b/packages/pondquay-standins/src/pondquay_standins/fleetparts.py
@@ -48,5 +48,8 @@
 
 
 def is_up(url: str) -> bool:
-    """Return whether a URL responds with status 200."""
+    """Return whether a URL responds with status 200.
+
+    :raises OSError: if there is no response
+    """
     return call_http("GET", url).status == 200
--- a/packages/pondquay-standins/src/pondquay_standins/platform.py
+++ b/packages/pondquay-standins/src/pondquay_standins/platform.py
@@ -2,8 +2,8 @@
 
 Faults are set by ``POST /faults``: ``down`` (connections are dropped), ``frozen`` (no
 call gets a response until the fault ends), ``table_down`` (like ``down``, but only for
-the table), ``slow_ms`` (delay of every call), ``lose`` (number of transactions that
-take effect without a response), ``cut`` (domains whose connections are dropped) and
+the table), ``slow_ms`` (delay of every call), ``lose`` (number of transactions
+processed without a response), ``cut`` (domains whose connections are dropped) and
 ``list_lag_seconds`` (delay before a change of the list becomes visible). Calls that
 register or remove instances, set faults or show counts are never delayed or dropped.
 """
--- a/packages/pondquay-standins/src/pondquay_standins/replicas.py
+++ b/packages/pondquay-standins/src/pondquay_standins/replicas.py
@@ -31,11 +31,11 @@
 class ReplicaFault(StrEnum):
     """A fault of a replica.
 
-    ``full`` rejects requests with 503, ``error`` responds with 500, ``hang`` never
-    responds, ``slow`` responds late, ``lose-answer`` runs requests and drops their
-    connections, ``cut`` breaks streams after two events, ``unsigned`` omits the
-    signature, ``foreign`` names another attempt in responses, and ``surplus`` sends
-    each complete response twice.
+    ``full`` rejects requests with 503, ``error`` responds with 500 unless a stream is
+    requested, ``hang`` never responds, ``slow`` responds late, ``lose-answer`` runs
+    requests and drops their connections, ``cut`` breaks streams after two events,
+    ``unsigned`` omits the signature, ``foreign`` names another attempt in responses,
+    and ``surplus`` sends each response twice unless it is streamed.
     """
 
     NONE = "none"
--- a/packages/pondquay-standins/src/pondquay_standins/tables.py
+++ b/packages/pondquay-standins/src/pondquay_standins/tables.py
@@ -10,7 +10,7 @@
 class TableRow:
     """A row's value and version.
 
-    :ivar version: number of writes since the row was created
+    :ivar version: number of writes of the row, 1 after its creation
     """
 
     version: int
